--- a/bayglade/events.py
+++ b/bayglade/events.py
@@ -1,4 +1,4 @@
-"""Events of a stream: opaque bytes with an id that rises."""
+"""Events of a ``text/event-stream`` body: opaque bytes with an increasing integer id."""
 
 import re
 
@@ -7,35 +7,35 @@
 
 
 class EventSplitter:
-    """Cuts the body of a stream into whole events; a rest without its end is held back."""
+    """Splits the body of a stream into complete events, buffering an incomplete one."""
 
-    __slots__ = ("rest",)
+    __slots__ = ("buffer",)
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.buffer = b""
 
     def __repr__(self) -> str:
-        return f"<EventSplitter {len(self.rest)} bytes held back>"
+        return f"<EventSplitter {len(self.buffer)} bytes buffered>"
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes.
+        """Add bytes of the body.
 
-        :param data: a piece of the body.
-        :return: the events that are whole now, each with its end.
+        :param data: the next bytes as received.
+        :return: the events completed by them, each with its terminating blank line.
         """
-        data = self.rest + data
+        data = self.buffer + data
         events, start = [], 0
         for end in EVENT_END.finditer(data):
             events.append(data[start : end.end()])
             start = end.end()
-        self.rest = data[start:]
+        self.buffer = data[start:]
         return events
 
 
 def event_id(data: bytes) -> int | None:
-    """Return the id of an event, or nothing.
+    """Return the id of an event, or ``None`` if it has none.
 
-    :param data: the whole event.
+    :param data: a complete event.
     """
     found = EVENT_ID.search(data)
     return int(found.group(1)) if found else None
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -401,7 +401,7 @@
         run.moved_on()
         delivery.deliver(message, splitter.feed(piece))
         leave_planned(peers, call, pipeline, run)
-    if splitter.rest:
+    if splitter.buffer:
         raise BackendError("the stream ended inside an event", step="stream", peer=run.exchange.backend)
     delivery.end(message)
 
