--- a/bayglade/admission.py
+++ b/bayglade/admission.py
@@ -10,7 +10,7 @@
 from eventlet.event import Event
 
 from bayglade.backends import Backends, BackendState
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 from bayglade.exceptions import BaygladeError, NoRoute, Overloaded
 from bayglade.fairness import ShareQueue, Waiting
 from bayglade.ids import BackendId, GroupPath, ModelName, Version
@@ -38,7 +38,7 @@
     __slots__ = ("deviation", "seconds_per_token", "served")
 
     def __init__(self) -> None:
-        self.served = Decayed(RATE_TAU)
+        self.served = DecayingSum(RATE_TAU)
         self.seconds_per_token = FIRST_SECONDS_PER_TOKEN
         self.deviation = FIRST_SECONDS_PER_TOKEN / 4
 
--- a/bayglade/clock.py
+++ b/bayglade/clock.py
@@ -1,75 +1,76 @@
-"""Time: one monotonic clock for all decisions, and averages that decay."""
+"""The clock for all timeouts and ages, and sums with exponential decay."""
 
 import math
 import time
 
 import eventlet
 
-LEAST_SUSPENSION = 0.1
-"""Seconds by which the two clocks must part to be told: reading one after the other takes microseconds."""
+MIN_SUSPENSION_SECONDS = 0.1
+"""Smallest clock offset, in seconds, reported as a suspension; the two clocks can't be read at the same
+instant, which alone shifts the offset by microseconds."""
 
 
 def now() -> float:
-    """Return the seconds on a clock that never goes back, and goes on while the host is suspended.
+    """Return the seconds of a monotonic clock that also counts while the host is suspended.
 
-    The usual monotonic clock stands still then: keys, settings, leases and servers would look as fresh
-    after a suspension as before it.
+    :func:`time.monotonic` stops during a suspension, so keys, settings, leases and servers would look as
+    fresh after it as before.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def keep_timers() -> None:
-    """Have the event loop's timers go by the same clock; called before the first of them is made."""
+def use_clock_for_timers() -> None:
+    """Make the event loop's timers use :func:`now`; call it before the first timer is created."""
     eventlet.hubs.get_hub().clock = now
 
 
-class Suspensions:
-    """Notices that the host was suspended, as the two clocks have parted."""
+class SuspensionDetector:
+    """Detects suspensions of the host by the offset of :func:`now` from :func:`time.monotonic`."""
 
     def __init__(self) -> None:
-        self.apart = now() - time.monotonic()
+        self.offset = now() - time.monotonic()
 
     def __repr__(self) -> str:
-        return f"<Suspensions {self.apart:.1f}>"
+        return f"<SuspensionDetector {self.offset:.1f}>"
 
-    def lately(self) -> float:
-        """Return for how many seconds the host was suspended since the last call."""
-        before, self.apart = self.apart, now() - time.monotonic()
-        seconds = self.apart - before
-        return seconds if seconds >= LEAST_SUSPENSION else 0.0
+    def suspended_seconds(self) -> float:
+        """Return how many seconds the host was suspended since the last call."""
+        before, self.offset = self.offset, now() - time.monotonic()
+        seconds = self.offset - before
+        return seconds if seconds >= MIN_SUSPENSION_SECONDS else 0.0
 
 
-class Decayed:
-    """A sum that forgets exponentially.
+class DecayingSum:
+    """A sum that decays exponentially.
 
-    :param tau: seconds in which the sum falls to 1/e.
+    :param tau: time constant in seconds; the sum decays to 1/e in this time.
     """
 
-    __slots__ = ("at", "began", "tau", "value")
+    __slots__ = ("created_at", "tau", "updated_at", "value")
 
     def __init__(self, tau: float) -> None:
         self.tau = tau
         self.value = 0.0
-        self.at = now()
-        self.began = self.at
+        self.updated_at = now()
+        self.created_at = self.updated_at
 
     def __repr__(self) -> str:
-        return f"<Decayed {self.value:.3g} tau={self.tau}>"
+        return f"<DecayingSum {self.value:.3g} tau={self.tau}>"
 
     def add(self, amount: float, at: float) -> None:
-        """Add an amount at a time."""
+        """Add an amount at the given time."""
         self.value = self.read(at) + amount
-        self.at = at
+        self.updated_at = at
 
     def read(self, at: float) -> float:
-        """Return the sum as it stands at a time."""
-        return self.value * math.exp(-max(0.0, at - self.at) / self.tau)
+        """Return the decayed sum at the given time."""
+        return self.value * math.exp(-max(0.0, at - self.updated_at) / self.tau)
 
     def rate(self, at: float) -> float:
-        """Return the amount a second that the sum stands for.
+        """Return the rate per second that the sum stands for.
 
-        A sum that began lately has not seen a whole time constant yet, which
-        would make every rate look too low.
+        The sum of a younger object than a few time constants covers only part of its window; the rate is
+        corrected for that, or it would come out too low.
         """
-        seen = 1.0 - math.exp(-max(1e-3, at - self.began) / self.tau)
+        seen = 1.0 - math.exp(-max(1e-3, at - self.created_at) / self.tau)
         return self.read(at) / (self.tau * seen)
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -10,7 +10,7 @@
 
 from bayglade import callers, logs
 from bayglade.claims import Claims
-from bayglade.clock import keep_timers, now
+from bayglade.clock import now, use_clock_for_timers
 from bayglade.config import Config, parse_address
 from bayglade.directory import Directory
 from bayglade.engines import create_engines
@@ -112,7 +112,7 @@
         :raises OSError: when an address cannot be listened on.
         """
         logs.set_up(self.config.member, self.config.log_format, self.config.log_level)
-        keep_timers()
+        use_clock_for_timers()
         callers_socket = _listen(self.config.callers)
         entries_socket = _listen(self.config.entries)
         self._on_signals()
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -13,7 +13,7 @@
 from bayglade import logs, platform
 from bayglade.beliefs import Beliefs, path_beliefs, server_beliefs, stop_beliefs, table_beliefs
 from bayglade.calls import Call
-from bayglade.clock import Suspensions, keep_timers, now
+from bayglade.clock import SuspensionDetector, now, use_clock_for_timers
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
 from bayglade.ends import watch_ends
@@ -183,7 +183,7 @@
         :raises OSError: when an address cannot be listened on.
         """
         logs.set_up(self.config.member, "json", self.config.log_level)
-        keep_timers()
+        use_clock_for_timers()
         if self.shortest_bound < LEAST_BOUND_SECONDS:
             event("WARNING", "bound too short", bound=self.shortest_bound, least=LEAST_BOUND_SECONDS)
         self._on_signals()
@@ -337,10 +337,10 @@
 
     def _tidy(self) -> None:
         """Do what is due now and then, for ever."""
-        suspensions = Suspensions()
+        suspensions = SuspensionDetector()
         while True:
             eventlet.sleep(TIDY_SECONDS)
-            if (seconds := suspensions.lately()) > 0:
+            if (seconds := suspensions.suspended_seconds()) > 0:
                 event("WARNING", "host was suspended", seconds=round(seconds, 2))
             self.links.forget(set(self.fleet.servers))
             self.quarantine.tidy()
--- a/bayglade/pipes.py
+++ b/bayglade/pipes.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from itertools import pairwise
 
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 from bayglade.ids import HallName
 from bayglade.pipelines import Demand, Pipeline
 
@@ -28,7 +28,7 @@
     """What this daemon sends between data halls."""
 
     def __init__(self) -> None:
-        self.sent: dict[Pair, Decayed] = {}
+        self.sent: dict[Pair, DecayingSum] = {}
         self.daemons: Callable[[], int] = lambda: 1
         """Returns how many daemons share the pipes."""
 
@@ -71,5 +71,5 @@
         # The last stage returns each token to the first, as a token and not as activations.
         for one, other in pairwise(passed):
             if one != other:
-                sent = self.sent.setdefault(frozenset((one, other)), Decayed(RATE_SECONDS))
+                sent = self.sent.setdefault(frozenset((one, other)), DecayingSum(RATE_SECONDS))
                 sent.add(pipeline.hop_mb * (demand.prompt + demand.answer), now())
--- a/bayglade/retries.py
+++ b/bayglade/retries.py
@@ -3,7 +3,7 @@
 import random
 from collections import deque
 
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 
 BUDGET_WINDOW = 10.0
 BUDGET_FRACTION = 0.1
@@ -36,7 +36,7 @@
         self.fraction = fraction
         self.floor = floor
         self.window = window
-        self.requests = Decayed(window)
+        self.requests = DecayingSum(window)
         self.retries: deque[float] = deque()
         self.loan = 0
         """Retries that another daemon lent; they count there."""
--- a/bayglade/servers.py
+++ b/bayglade/servers.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 from bayglade.ids import (
     UNKNOWN_INCARNATION,
     BackendId,
@@ -174,7 +174,7 @@
         self.suspect_until = 0.0
         """Set for a server of a plain service, which has no report to ask for."""
 
-        self.refusals = Decayed(REFUSAL_SECONDS)
+        self.refusals = DecayingSum(REFUSAL_SECONDS)
         """Requests that it turned away lately; a plain server counts as that much busier.
 
         Calls that may go to one server only are lost when that one refuses, and one that refuses has the
--- a/bayglade/usage.py
+++ b/bayglade/usage.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 from bayglade.ids import GroupPath, MemberId
 from bayglade.settings import contains, lineage
 
@@ -28,12 +28,12 @@
     """Recent service of each group, here and as told by other daemons."""
 
     def __init__(self) -> None:
-        self.local: dict[GroupPath, Decayed] = {}
-        self.own_leaves: dict[GroupPath, Decayed] = {}
-        self.remote: dict[MemberId, dict[GroupPath, Decayed]] = {}
-        self.remote_total: dict[GroupPath, Decayed] = {}
-        self.asked: dict[GroupPath, Decayed] = {}
-        self.remote_asked: dict[MemberId, dict[GroupPath, Decayed]] = {}
+        self.local: dict[GroupPath, DecayingSum] = {}
+        self.own_leaves: dict[GroupPath, DecayingSum] = {}
+        self.remote: dict[MemberId, dict[GroupPath, DecayingSum]] = {}
+        self.remote_total: dict[GroupPath, DecayingSum] = {}
+        self.asked: dict[GroupPath, DecayingSum] = {}
+        self.remote_asked: dict[MemberId, dict[GroupPath, DecayingSum]] = {}
         self.told = 0
 
     def __repr__(self) -> str:
@@ -123,7 +123,7 @@
         self.remote_asked.pop(member, None)
 
     def _set_remote(
-        self, served: dict[GroupPath, Decayed], path: GroupPath, amount: float, at: float
+        self, served: dict[GroupPath, DecayingSum], path: GroupPath, amount: float, at: float
     ) -> None:
         """Replace one count of another daemon, and what the levels above have of it."""
         change = amount - _read(served, path, at)
@@ -138,22 +138,22 @@
                 del counts[path]
 
 
-def _decayed(amount: float, at: float) -> Decayed:
-    count = Decayed(USAGE_TAU)
+def _decayed(amount: float, at: float) -> DecayingSum:
+    count = DecayingSum(USAGE_TAU)
     count.add(amount, at)
     return count
 
 
-def _read(counts: dict[GroupPath, Decayed], path: GroupPath, at: float) -> float:
+def _read(counts: dict[GroupPath, DecayingSum], path: GroupPath, at: float) -> float:
     return counts[path].read(at) if path in counts else 0.0
 
 
-def _below(counts: dict[GroupPath, Decayed], top: GroupPath, at: float) -> float:
+def _below(counts: dict[GroupPath, DecayingSum], top: GroupPath, at: float) -> float:
     return sum(count.read(at) for path, count in counts.items() if contains(top, path))
 
 
-def _add(counts: dict[GroupPath, Decayed], path: GroupPath, amount: float, at: float) -> None:
+def _add(counts: dict[GroupPath, DecayingSum], path: GroupPath, amount: float, at: float) -> None:
     count = counts.get(path)
     if count is None:
-        count = counts[path] = Decayed(USAGE_TAU)
+        count = counts[path] = DecayingSum(USAGE_TAU)
     count.add(amount, at)
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -12,7 +12,7 @@
 from eventlet.event import Event
 
 from bayglade.calls import Call
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 from bayglade.fairness import ShareOf, ShareQueue, Waiting
 from bayglade.ids import ServiceName
 from bayglade.places import Place
@@ -65,7 +65,7 @@
         self.usage = usage
         self.share_of = share_of
         self.queues: dict[ServiceName, ShareQueue[Turn]] = {}
-        self.ended: dict[ServiceName, Decayed] = {}
+        self.ended: dict[ServiceName, DecayingSum] = {}
         self.away: dict[ServiceName, deque[float]] = {}
         """When callers that were sent away are to come back, in monotonic seconds."""
 
@@ -154,7 +154,7 @@
     def note_end(self, service: ServiceName) -> None:
         """Note that a request has ended, and give its place to who waits."""
         if service not in self.ended:
-            self.ended[service] = Decayed(RATE_SECONDS)
+            self.ended[service] = DecayingSum(RATE_SECONDS)
         self.ended[service].add(1.0, now())
         self.wake(service)
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,7 +12,7 @@
 import pytest
 
 from bayglade import clock
-from bayglade.clock import Suspensions, keep_timers, now
+from bayglade.clock import SuspensionDetector, now, use_clock_for_timers
 from bayglade.exceptions import CutOff
 from bayglade.feeds import Feed
 from bayglade.ids import MemberId
@@ -80,16 +80,16 @@
 
 
 def test_it_is_told_once(suspend: Suspend) -> None:
-    suspensions = Suspensions()
-    assert suspensions.lately() == 0.0
+    suspensions = SuspensionDetector()
+    assert suspensions.suspended_seconds() == 0.0
     suspend(7.5)
-    assert suspensions.lately() == pytest.approx(7.5, abs=0.05)
-    assert suspensions.lately() == 0.0
+    assert suspensions.suspended_seconds() == pytest.approx(7.5, abs=0.05)
+    assert suspensions.suspended_seconds() == 0.0
 
 
 def test_timers_that_fell_due_in_it_fire_after_it(suspend: Suspend) -> None:
     def fires() -> bool:
-        keep_timers()
+        use_clock_for_timers()
         fired = eventlet.event.Event()
         eventlet.spawn_after(20.0, fired.send)
         suspend(20.0)
