--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform: puts the parts together, runs their tasks, stops in order."""
+"""The daemon on the users' platform: creates the components, runs their tasks and shuts down gracefully."""
 
 import random
 import secrets
@@ -56,26 +56,27 @@
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
 DOCUMENT_PAUSE = 0.2
-"""Seconds after a change of the document before the next call: changes come in storms, each call
-is paid for, and a tenth of the time in which a change must be in force is spent at most."""
+"""Seconds to wait after a change of the operator's document before the next request for changes: changes
+come in bursts and each request has a cost. At most a tenth of the time allowed for a change to take effect."""
 HEARTBEATS_MISSED = 3
-"""Heartbeats that a backend server misses before the platform removes its entry."""
+"""Heartbeats that a backend server has to miss before the platform removes its entry."""
 EXPIRY_MARGIN = 1.0
-"""Seconds for the removal to be known here."""
+"""Seconds for the removal of an entry to become known to this daemon."""
 TIDY_SECONDS = 1.0
-"""Seconds between looks at the own settings file and at connections that rested too long."""
+"""Interval of housekeeping: checks the daemon's settings file for changes, drops expired idle
+connections and updates the gauges."""
 DRAIN_POLL = 0.05
 BALANCER_SECONDS = 3.5
-"""The balancer asks each second and takes a daemon out after two misses; then connections
-that are on their way still come."""
+"""The balancer probes readiness every second and removes a daemon after two failed probes; connections
+already under way still arrive after that."""
 ACCEPT_SECONDS = 2.8
-"""How long after the signal to stop all requests are still taken; later ones only if they are
-over in time for sure."""
+"""How long after the termination signal every request is still accepted; later ones only if their
+deadline passes before the daemon exits."""
 STOP_MARGIN = 0.6
-"""Seconds before the end by force at which the daemon ends by itself."""
+"""Seconds by which the daemon exits before the platform would kill it."""
 FINGERPRINT_KEY_BYTES = 32
 LOCAL_LIMITS = CallerLimits()
-"""Bounds for whoever asks for readiness and metrics."""
+"""Limits for clients of the readiness and metrics listeners."""
 
 
 class Gateway:
@@ -178,14 +179,19 @@
         return f"<Gateway {self.config.member} {self.intake!r} {len(self.active)} active>"
 
     def run(self) -> None:
-        """Serve until told to stop, then stop in order.
+        """Serve until a termination signal, then drain and exit.
 
-        :raises OSError: when an address cannot be listened on.
+        :raises OSError: if a listening address can't be bound.
         """
         logs.set_up(self.config.member, "json", self.config.log_level)
         use_clock_for_timers()
         if self.shortest_bound < LEAST_BOUND_SECONDS:
-            event("WARNING", "bound too short", bound=self.shortest_bound, least=LEAST_BOUND_SECONDS)
+            event(
+                "WARNING",
+                "staleness bound is too short",
+                bound=self.shortest_bound,
+                least=LEAST_BOUND_SECONDS,
+            )
         self._on_signals()
         self._listen(self.config.ready, lambda: LOCAL_LIMITS, self._answer_ready)
         self._listen(self.config.metrics, lambda: LOCAL_LIMITS, self._answer_metrics)
@@ -206,7 +212,7 @@
         self._drain()
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the balancer should send callers to this daemon."""
         return (
             not self.draining
             and self.intake.version > 0
@@ -216,11 +222,11 @@
         )
 
     def _feeds(self) -> tuple[Feed, ...]:
-        """Return the feeds of all tables; the first looks most often for a store that is lost."""
+        """Return the feeds of all tables; the first one probes most often while the store is unreachable."""
         return self.document_feed, self.servers_feed, self.peering.feed
 
     def beliefs(self) -> Beliefs:
-        """Return what this daemon takes for true at this moment."""
+        """Return this daemon's current view of settings, members, servers and paths."""
         paths = [
             path
             for service, pipeline in self.intake.pipelines().items()
@@ -277,7 +283,7 @@
         except BaygladeError as error:
             self._fail(connection, error, request, started)
         except (CallerLeft, OSError):
-            # Noticed while waiting, or by a send.
+            # Detected while waiting, or by a failed send.
             event("INFO", "caller left", request=request, after=round(now() - started, 3))
             raise
         finally:
@@ -285,15 +291,15 @@
             self.metrics.observe("request_seconds", now() - started)
 
     def _check_stopping(self, call: Call) -> None:
-        """Refuse a request that may not be over before this daemon ends."""
+        """Refuse a request that might not finish before this daemon exits."""
         if not self.draining or now() - self.draining_since < ACCEPT_SECONDS:
             return
         if call.deadline > self._ends_at():
             again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
-            raise Stopping("this daemon stops", step="intake", retry_after=again)
+            raise Stopping("this daemon is shutting down", step="intake", retry_after=again)
 
     def _ends_at(self) -> float:
-        """Return when this daemon ends by itself, once it was told to stop."""
+        """Return when this daemon exits by itself, given that it is draining."""
         return self.draining_since + self.config.grace_seconds - STOP_MARGIN
 
     def _relay(self, call: Call, connection: Connection) -> None:
@@ -319,7 +325,7 @@
             age=round(self.document_feed.age(), 2),
         )
         if connection.sent:
-            # Part of the answer is out: only the end of the connection says that it is not whole.
+            # Part of the answer was sent: only closing the connection tells the caller that it is incomplete.
             connection.closing = True
             return
         connection.refuse(error, request)
@@ -336,7 +342,7 @@
         self.intake.take(version, tree, bytes(value))
 
     def _tidy(self) -> None:
-        """Do what is due now and then, for ever."""
+        """Run periodic housekeeping; never returns."""
         suspensions = SuspensionDetector()
         while True:
             eventlet.sleep(TIDY_SECONDS)
@@ -371,9 +377,9 @@
         self.metrics.gauge("connections_opened", self.links.opened)
 
     def reload(self, cause: str) -> None:
-        """Read the daemon's own settings again; what makes no sense changes nothing.
+        """Read the daemon's settings file again; an invalid file is logged and ignored.
 
-        :param cause: why, for the log.
+        :param cause: what triggered the reload, for the log.
         """
         self.changed_at = _changed_at(self.path)
         try:
@@ -390,7 +396,7 @@
 
     def _on_signals(self) -> None:
         def pass_on(act: Callable[[], None]) -> Callable[[int, object], None]:
-            # A signal arrives between any two steps: only pass it on.
+            # A signal interrupts the code at any point, so the handler only schedules the action.
             return lambda *_: eventlet.hubs.get_hub().schedule_call_global(0, act)
 
         signal.signal(signal.SIGTERM, pass_on(self._stop))
@@ -406,7 +412,7 @@
             self.stopping.send()
 
     def _drain(self) -> None:
-        """Stop in order: unready first, then wait for the balancer and for answers."""
+        """Fail readiness, wait until the balancer has noticed, then wait for requests in flight."""
         event("INFO", "stopping", active=len(self.active))
         until = self._ends_at()
         eventlet.sleep(min(BALANCER_SECONDS, until - now()))
@@ -416,11 +422,11 @@
 
 
 def create_gateway(path: Path) -> Gateway:
-    """Build a daemon from its settings.
+    """Create a daemon from its settings file, without starting it.
 
     :param path: a YAML file.
-    :return: the daemon; nothing runs yet.
-    :raises InvalidSettings: when the settings are unreadable or wrong.
+    :return: the daemon.
+    :raises InvalidSettings: if the file is unreadable or invalid.
     """
     return Gateway(load_gateway_config(path), path)
 
@@ -429,5 +435,5 @@
     try:
         return path.stat().st_mtime_ns
     except OSError:
-        # Between two versions of the file there may be none for a moment.
+        # The file may be missing for a moment while it is replaced.
         return 0
