--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -55,27 +55,28 @@
 
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
-DOCUMENT_PAUSE = 0.2
+DOCUMENT_POLL_DELAY = 0.2
 """Seconds to wait after a change of the operator's document before the next request for changes: changes
-come in bursts and each request has a cost. At most a tenth of the time allowed for a change to take effect."""
+come in bursts and each request has a cost. At most a tenth of the time allowed for a change to take
+effect."""
 HEARTBEATS_MISSED = 3
 """Heartbeats that a backend server has to miss before the platform removes its entry."""
-EXPIRY_MARGIN = 1.0
+EXPIRY_MARGIN_SECONDS = 1.0
 """Seconds for the removal of an entry to become known to this daemon."""
-TIDY_SECONDS = 1.0
+HOUSEKEEPING_INTERVAL = 1.0
 """Interval of housekeeping: checks the daemon's settings file for changes, drops expired idle
 connections and updates the gauges."""
-DRAIN_POLL = 0.05
-BALANCER_SECONDS = 3.5
+DRAIN_POLL_INTERVAL = 0.05
+BALANCER_REMOVAL_SECONDS = 3.5
 """The balancer probes readiness every second and removes a daemon after two failed probes; connections
 already under way still arrive after that."""
-ACCEPT_SECONDS = 2.8
+DRAIN_ACCEPT_SECONDS = 2.8
 """How long after the termination signal every request is still accepted; later ones only if their
 deadline passes before the daemon exits."""
-STOP_MARGIN = 0.6
+EXIT_MARGIN_SECONDS = 0.6
 """Seconds by which the daemon exits before the platform would kill it."""
 FINGERPRINT_KEY_BYTES = 32
-LOCAL_LIMITS = CallerLimits()
+INTERNAL_CLIENT_LIMITS = CallerLimits()
 """Limits for clients of the readiness and metrics listeners."""
 
 
@@ -84,18 +85,18 @@
 
     def __init__(self, config: GatewayConfig, path: Path) -> None:
         self.config = config
-        self.path = path
-        self.changed_at = _changed_at(path)
+        self.config_path = path
+        self.config_mtime_ns = _mtime_ns(path)
         self.rng = random.Random()
         self.metrics = create_metrics(None, config.member)
         key_trust, servers_bound = config.key_trust_ms / 1000, config.drain_ms / 1000
         settings_bound = document_bound(config.config_ms / 1000, key_trust)
-        self.shortest_bound = min(settings_bound, servers_bound)
-        answer_seconds = answer_within(self.shortest_bound)
+        self.min_staleness_bound = min(settings_bound, servers_bound)
+        answer_seconds = answer_within(self.min_staleness_bound)
         self.history = StoreHistory()
         self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
         rows = GuardedTable(self.store, self.history)
-        self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN)
+        self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN_SECONDS)
         self.links = Links()
         self.fleet.on_restart.append(self.links.drop)
         self.control = platform.Engines(self.links)
@@ -108,8 +109,8 @@
             self.store,
             platform.OPERATOR_TABLE,
             wait_within(settings_bound),
-            self._take_document,
-            DOCUMENT_PAUSE,
+            self._apply_document,
+            DOCUMENT_POLL_DELAY,
             self.history,
         )
         self.listing = Listing(self.fleet, platform.decode_server, servers_bound, self.metrics)
@@ -170,13 +171,13 @@
         self.loader.daemons = self.peering.count
         look_together(self._feeds())
         self.presence = Presence(self.metrics)
-        self.active: set[RequestId] = set()
+        self.active_requests: set[RequestId] = set()
         self.draining = False
         self.draining_since = 0.0
-        self.stopping = Event()
+        self.shutdown_requested = Event()
 
     def __repr__(self) -> str:
-        return f"<Gateway {self.config.member} {self.intake!r} {len(self.active)} active>"
+        return f"<Gateway {self.config.member} {self.intake!r} {len(self.active_requests)} active>"
 
     def run(self) -> None:
         """Serve until a termination signal, then drain and exit.
@@ -185,17 +186,17 @@
         """
         logs.set_up(self.config.member, "json", self.config.log_level)
         use_clock_for_timers()
-        if self.shortest_bound < LEAST_BOUND_SECONDS:
+        if self.min_staleness_bound < LEAST_BOUND_SECONDS:
             event(
                 "WARNING",
                 "staleness bound is too short",
-                bound=self.shortest_bound,
+                bound=self.min_staleness_bound,
                 least=LEAST_BOUND_SECONDS,
             )
-        self._on_signals()
-        self._listen(self.config.ready, lambda: LOCAL_LIMITS, self._answer_ready)
-        self._listen(self.config.metrics, lambda: LOCAL_LIMITS, self._answer_metrics)
-        self._listen(self.config.callers, self.intake.limits, self._answer_caller)
+        self._install_signal_handlers()
+        self._start_listener(self.config.ready, lambda: INTERNAL_CLIENT_LIMITS, self._serve_readiness)
+        self._start_listener(self.config.metrics, lambda: INTERNAL_CLIENT_LIMITS, self._serve_metrics)
+        self._start_listener(self.config.callers, self.intake.limits, self._serve_caller)
         self.document_feed.start()
         self.servers_feed.start()
         for task in (
@@ -204,11 +205,11 @@
             self.diagnosis.recheck,
             self.presence.run,
             self.wait_queues.run,
-            self._tidy,
+            self._run_housekeeping,
         ):
             eventlet.spawn_n(task)
         event("INFO", "started", callers=self.config.callers, hall=self.config.hall)
-        self.stopping.wait()
+        self.shutdown_requested.wait()
         self._drain()
 
     def ready(self) -> bool:
@@ -222,7 +223,7 @@
         )
 
     def _feeds(self) -> tuple[Feed, ...]:
-        """Return the feeds of all tables; the first one probes most often while the store is unreachable."""
+        """Return the feeds of all tables; the first probes most often while the store is unreachable."""
         return self.document_feed, self.servers_feed, self.peering.feed
 
     def beliefs(self) -> Beliefs:
@@ -245,21 +246,21 @@
             duty=self.peering.plan.duty.value,
             asks=list(self.peering.plan.asks),
             members=self.peering.live(),
-            in_flight=len(self.active),
+            in_flight=len(self.active_requests),
             waiting=self.wait_queues.waiting(),
             servers=server_beliefs(self.fleet),
             stopped=stop_beliefs(self.quarantine),
             paths=path_beliefs(paths),
         )
 
-    def _answer_ready(self, connection: Connection, message: Message) -> None:
+    def _serve_readiness(self, connection: Connection, message: Message) -> None:
         if message.target != platform.READY_PATH:
             connection.answer(404, [], b"")
             return
         ready = self.ready()
         connection.answer(200 if ready else 503, [], b"ready" if ready else b"not ready")
 
-    def _answer_metrics(self, connection: Connection, message: Message) -> None:
+    def _serve_metrics(self, connection: Connection, message: Message) -> None:
         if message.target == BELIEFS_PATH:
             connection.answer(200, [("Content-Type", JSON_TYPE)], msgspec.json.encode(self.beliefs()))
             return
@@ -268,41 +269,41 @@
             return
         connection.answer(200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.text())
 
-    def _answer_caller(self, connection: Connection, message: Message) -> None:
+    def _serve_caller(self, connection: Connection, message: Message) -> None:
         connection.closing = connection.closing or self.draining
         started = now()
         request = RequestId("")
         try:
             call = self.intake.call(message)
             request = call.head.id
-            self._check_stopping(call)
+            self._check_draining(call)
             self.quarantine.check(call)
-            self.active.add(request)
+            self.active_requests.add(request)
             with self.presence.watching(connection.sock):
-                self._relay(call, connection)
+                self._relay_call(call, connection)
         except BaygladeError as error:
-            self._fail(connection, error, request, started)
+            self._report_failure(connection, error, request, started)
         except (CallerLeft, OSError):
             # Detected while waiting, or by a failed send.
             event("INFO", "caller left", request=request, after=round(now() - started, 3))
             raise
         finally:
-            self.active.discard(request)
+            self.active_requests.discard(request)
             self.metrics.observe("request_seconds", now() - started)
 
-    def _check_stopping(self, call: Call) -> None:
+    def _check_draining(self, call: Call) -> None:
         """Refuse a request that might not finish before this daemon exits."""
-        if not self.draining or now() - self.draining_since < ACCEPT_SECONDS:
+        if not self.draining or now() - self.draining_since < DRAIN_ACCEPT_SECONDS:
             return
-        if call.deadline > self._ends_at():
+        if call.deadline > self._exit_time():
             again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
             raise Stopping("this daemon is shutting down", step="intake", retry_after=again)
 
-    def _ends_at(self) -> float:
+    def _exit_time(self) -> float:
         """Return when this daemon exits by itself, given that it is draining."""
-        return self.draining_since + self.config.grace_seconds - STOP_MARGIN
+        return self.draining_since + self.config.grace_seconds - EXIT_MARGIN_SECONDS
 
-    def _relay(self, call: Call, connection: Connection) -> None:
+    def _relay_call(self, call: Call, connection: Connection) -> None:
         service = self.intake.tree.services.get(call.service)
         self.metrics.count("requests")
         if service is not None and service.pipeline is not None:
@@ -310,7 +311,7 @@
         else:
             relay_whole(self.peers, call, connection)
 
-    def _fail(
+    def _report_failure(
         self, connection: Connection, error: BaygladeError, request: RequestId, started: float
     ) -> None:
         self.metrics.count(f"errors_{error.code}")
@@ -325,12 +326,12 @@
             age=round(self.document_feed.age(), 2),
         )
         if connection.sent:
-            # Part of the answer was sent: only closing the connection tells the caller that it is incomplete.
+            # Part of the answer was sent: only closing the connection shows that it is incomplete.
             connection.closing = True
             return
         connection.refuse(error, request)
 
-    def _take_document(self, changes: Changes, whole: bool) -> None:
+    def _apply_document(self, changes: Changes, whole: bool) -> None:
         value = changes.rows.get(platform.DOCUMENT_KEY)
         if value is None:
             return
@@ -341,22 +342,22 @@
             return
         self.intake.take(version, tree, bytes(value))
 
-    def _tidy(self) -> None:
+    def _run_housekeeping(self) -> None:
         """Run periodic housekeeping; never returns."""
         suspensions = SuspensionDetector()
         while True:
-            eventlet.sleep(TIDY_SECONDS)
+            eventlet.sleep(HOUSEKEEPING_INTERVAL)
             if (seconds := suspensions.suspended_seconds()) > 0:
                 event("WARNING", "host was suspended", seconds=round(seconds, 2))
             self.links.forget(set(self.fleet.servers))
             self.quarantine.tidy()
-            self._gauge()
+            self._update_gauges()
             self.listing.tell_behind(self.document_feed.age())
-            if _changed_at(self.path) != self.changed_at:
+            if _mtime_ns(self.config_path) != self.config_mtime_ns:
                 self.reload("the file changed")
 
-    def _gauge(self) -> None:
-        self.metrics.gauge("in_flight", len(self.active))
+    def _update_gauges(self) -> None:
+        self.metrics.gauge("in_flight", len(self.active_requests))
         self.metrics.gauge("waiting", self.wait_queues.waiting())
         self.metrics.gauge("settings_version", self.intake.version)
         self.metrics.gauge("settings_age_seconds", self.document_feed.age())
@@ -381,44 +382,46 @@
 
         :param cause: what triggered the reload, for the log.
         """
-        self.changed_at = _changed_at(self.path)
+        self.config_mtime_ns = _mtime_ns(self.config_path)
         try:
-            self.config = load_gateway_config(self.path)
+            self.config = load_gateway_config(self.config_path)
         except InvalidSettings as error:
             event("ERROR", "reload refused", cause=cause, error=repr(error))
             return
         self.intake.key_trust = self.config.key_trust_ms / 1000
         event("INFO", "reloaded", cause=cause)
 
-    def _listen(self, address: str, limits: Callable[[], CallerLimits], handler: Handler) -> None:
-        where = parse_address(address)
-        eventlet.spawn_n(serve, listen(where.host, where.port), limits, handler)
+    def _start_listener(self, address: str, limits: Callable[[], CallerLimits], handler: Handler) -> None:
+        listen_on = parse_address(address)
+        eventlet.spawn_n(serve, listen(listen_on.host, listen_on.port), limits, handler)
 
-    def _on_signals(self) -> None:
-        def pass_on(act: Callable[[], None]) -> Callable[[int, object], None]:
+    def _install_signal_handlers(self) -> None:
+        def deferred(act: Callable[[], None]) -> Callable[[int, object], None]:
             # A signal interrupts the code at any point, so the handler only schedules the action.
             return lambda *_: eventlet.hubs.get_hub().schedule_call_global(0, act)
 
-        signal.signal(signal.SIGTERM, pass_on(self._stop))
-        signal.signal(signal.SIGINT, pass_on(self._stop))
-        signal.signal(signal.SIGHUP, pass_on(lambda: self.reload("SIGHUP")))
+        signal.signal(signal.SIGTERM, deferred(self._begin_shutdown))
+        signal.signal(signal.SIGINT, deferred(self._begin_shutdown))
+        signal.signal(signal.SIGHUP, deferred(lambda: self.reload("SIGHUP")))
 
-    def _stop(self) -> None:
+    def _begin_shutdown(self) -> None:
         if not self.draining:
             self.draining_since = now()
         self.draining = True
         self.peering.leave()
-        if not self.stopping.ready():
-            self.stopping.send()
+        if not self.shutdown_requested.ready():
+            self.shutdown_requested.send()
 
     def _drain(self) -> None:
         """Fail readiness, wait until the balancer has noticed, then wait for requests in flight."""
-        event("INFO", "stopping", active=len(self.active))
-        until = self._ends_at()
-        eventlet.sleep(min(BALANCER_SECONDS, until - now()))
-        while self.active and now() < until:
-            eventlet.sleep(DRAIN_POLL)
-        event("INFO", "stopped", cut=sorted(self.active), after=round(now() - self.draining_since, 2))
+        event("INFO", "stopping", active=len(self.active_requests))
+        until = self._exit_time()
+        eventlet.sleep(min(BALANCER_REMOVAL_SECONDS, until - now()))
+        while self.active_requests and now() < until:
+            eventlet.sleep(DRAIN_POLL_INTERVAL)
+        event(
+            "INFO", "stopped", cut=sorted(self.active_requests), after=round(now() - self.draining_since, 2)
+        )
 
 
 def create_gateway(path: Path) -> Gateway:
@@ -431,7 +434,7 @@
     return Gateway(load_gateway_config(path), path)
 
 
-def _changed_at(path: Path) -> int:
+def _mtime_ns(path: Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError:
