--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: puts the parts together, runs their tasks, stops in order."""
+"""The entry daemon: creates the components, runs their tasks and shuts down gracefully."""
 
 import random
 import signal
@@ -44,7 +44,8 @@
 PROBES_PER_SECOND = 2.0
 LATE_TICK = 0.5
 PLATFORM_POLLS_PER_SECOND = 200.0
-"""Polls of the platform that all daemons together allow themselves, of either kind."""
+"""Upper limit on polls of the platform by all daemons together, for the host list and for the settings
+each."""
 HOSTS_POLL_FACTOR = 2.0
 HEARD_POLL_FACTOR = 5.0
 DRAIN_POLL = 0.05
@@ -56,7 +57,7 @@
 
 
 class Daemon:
-    """One entry daemon."""
+    """An entry daemon."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -107,9 +108,9 @@
         return f"<Daemon {self.config.member} {self.router!r}>"
 
     def run(self) -> None:
-        """Serve until told to stop, then stop in order.
+        """Serve until a termination signal, then drain and exit.
 
-        :raises OSError: when an address cannot be listened on.
+        :raises OSError: if a listening address can't be bound.
         """
         logs.set_up(self.config.member, self.config.log_format, self.config.log_level)
         use_clock_for_timers()
@@ -126,11 +127,11 @@
         self._drain(server)
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the balancer should send callers to this daemon."""
         return not self.membership.draining and self.trust.good()
 
     def application(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
-        """Serve one HTTP request (PEP 3333)."""
+        """Serve one HTTP request (WSGI, PEP 3333)."""
         started = now()
         try:
             response = self._respond(environ)
@@ -138,12 +139,12 @@
             response = error_response(error)
             self.metrics.count(f"errors.{error.code}")
             event("INFO", "request failed", path=environ["PATH_INFO"], error=repr(error))
-        except Exception as error:  # noqa: BLE001 - no traceback may reach a caller
-            event("ERROR", "request broke", path=environ["PATH_INFO"], error=repr(error))
+        except Exception as error:  # noqa: BLE001 - callers must not see a traceback
+            event("ERROR", "unexpected error in a request", path=environ["PATH_INFO"], error=repr(error))
             response = error_response(BaygladeError("an error inside the daemon", step="respond"))
         self.metrics.count("requests")
         self.metrics.time("request.first_byte", now() - started)
-        # A body that was not read to its end would be taken for the next request.
+        # The unread rest of a body would be parsed as the next request.
         close = self.membership.draining or response.status in (400, 413)
         return start(response, environ, start_response, close)
 
@@ -162,7 +163,7 @@
 
     def _on_signals(self) -> None:
         def told(_: int, __: object) -> None:
-            # A signal arrives between any two steps: only pass it on.
+            # A signal interrupts the code at any point, so the handler only schedules the action.
             eventlet.hubs.get_hub().schedule_call_global(0, self._stop)
 
         signal.signal(signal.SIGTERM, told)
@@ -172,11 +173,11 @@
         if not self.stopping.ready():
             self.stopping.send()
             return
-        event("WARNING", "told twice to stop", cut=list(self.router.active))
+        event("WARNING", "second termination signal, exiting at once", cut=list(self.router.active))
         raise SystemExit(1)
 
     def _drain(self, server: eventlet.greenthread.GreenThread) -> None:
-        """Stop in order: unready first, then no new connections, then wait for answers."""
+        """Fail readiness, stop accepting connections, then wait for requests in flight."""
         self.membership.draining = True
         self.membership.beat()
         event("INFO", "stopping", in_flight=len(self.router.active))
@@ -186,8 +187,8 @@
         while self.router.active and now() < until:
             eventlet.sleep(DRAIN_POLL)
         if self.router.active:
-            event("WARNING", "stopping cuts requests", cut=list(self.router.active))
-        # Answers that are made are still being written, and claims kept.
+            event("WARNING", "drain timed out, aborting requests", cut=list(self.router.active))
+        # Finished answers may still be being sent, and their claims stored.
         with eventlet.Timeout(max(0.1, until - now()), False):
             server.wait()
             self._wait_for_claims()
@@ -209,20 +210,20 @@
         self.metrics.gauge("settings.revision", current.revision)
 
     def _poll_hosts(self) -> None:
-        """Ask the platform for the host list now and then."""
+        """Poll the platform's host list; never returns."""
         while True:
             self._try("hosts", self._take_hosts)
             self._pause(HOSTS_POLL_FACTOR)
 
     def _poll_settings(self) -> None:
-        """Ask the platform for the head: seldom while other daemons would tell of it."""
+        """Poll the head of the settings; less often while other daemons would announce a new one."""
         while True:
             self._try("settings", self.revisions.poll)
             heard = self.membership.live() and self.revisions.current.revision
             self._pause(HEARD_POLL_FACTOR if heard else 1.0)
 
     def _pause(self, factor: float) -> None:
-        """Wait for the next poll, longer the more daemons share the platform."""
+        """Sleep until the next poll; the interval grows with the number of daemons on the platform."""
         crowd = len(self.membership.listed) / PLATFORM_POLLS_PER_SECOND
         interval = max(self.config.poll_interval * factor, crowd)
         eventlet.sleep(interval * self.rng.uniform(0.8, 1.2))
@@ -232,7 +233,7 @@
             ask()
         except BaygladeError as error:
             self.metrics.count(f"platform.{what}_failed")
-            event("WARNING", "platform failed", what=what, error=repr(error))
+            event("WARNING", "platform request failed", what=what, error=repr(error))
 
     def _take_hosts(self) -> None:
         hosts = self.platform.hosts()
@@ -243,11 +244,11 @@
         self._mark_leaving()
 
     def _leaving(self) -> list[BackendId]:
-        """List the servers that said here that they leave, for the other daemons."""
+        """Return the servers that reported to this daemon that they are leaving, for the other daemons."""
         return sorted(self.own_leaving)
 
     def _heard(self, member: MemberId, beat: Heartbeat) -> None:
-        """Take in what another daemon says of backend servers."""
+        """Apply what another daemon's heartbeat says about backend servers."""
         states = self.router.backends.states
         for backend in beat.leaving:
             self.heard_leaving[backend] = now()
@@ -258,14 +259,14 @@
                 states[held.backend].hold(held.version)
 
     def _place(self) -> None:
-        """Give the orders of placement that fall to this daemon, for ever."""
+        """Run placement, giving the orders that fall to this daemon; never returns."""
         while True:
             eventlet.sleep(PLACE_INTERVAL * self.rng.uniform(0.8, 1.2))
             if self.trust.good() and not self.membership.draining:
                 self._try("placement", lambda: self.placer.run_once(self.router.tree))
 
     def _mark_leaving(self) -> None:
-        """Bring together what the host list, other daemons and the servers say."""
+        """Mark servers as leaving by the host list, other daemons' heartbeats and their own reports."""
         since = now() - LOST_AFTER
         self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > since}
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
@@ -277,7 +278,7 @@
             state.leaving = said or state.id in elsewhere
 
     def _probe(self) -> None:
-        """Ask servers for their load in turn, a bounded number a second."""
+        """Ask the servers for their load in turn, at a bounded rate; never returns."""
         while True:
             for state in list(self.router.backends.states.values()):
                 eventlet.sleep(1.0 / PROBES_PER_SECOND)
@@ -291,14 +292,14 @@
             eventlet.sleep(1.0 / PROBES_PER_SECOND)
 
     def _tick(self) -> None:
-        """Look after what depends on time alone."""
+        """Run the periodic work that depends on time alone; never returns."""
         while True:
             due = now() + TICK_INTERVAL
             eventlet.sleep(TICK_INTERVAL)
             late = now() - due
             self.metrics.gauge("loop.late_seconds", late)
             if late > LATE_TICK:
-                event("WARNING", "the loop was late", seconds=round(late, 3))
+                event("WARNING", "event loop is late", seconds=round(late, 3))
             self.membership.watch()
             self._mark_leaving()
             self.router.divide(len(self.membership.live()) + 1)
@@ -307,20 +308,20 @@
 
 
 def create_daemon(config: Config) -> Daemon:
-    """Build a daemon; it does nothing until :meth:`Daemon.run`.
+    """Create a daemon, without starting it.
 
-    :param config: the daemon's own settings.
-    :return: the daemon.
+    :param config: the daemon's local settings.
+    :return: the daemon; :meth:`Daemon.run` starts it.
     """
     return Daemon(config)
 
 
 def _listen(address: str) -> socket.socket:
     where = parse_address(address)
-    # Without reuse_port=False two daemons could share a port without a word.
+    # With eventlet's default of reuse_port, two daemons could silently share a port.
     sock: socket.socket = eventlet.listen(
         (where.host, where.port), backlog=LISTEN_BACKLOG, reuse_port=False
     )
-    # Accepted connections take this over: a token must not wait for an acknowledgement.
+    # Inherited by accepted connections: Nagle's algorithm would delay tokens until an acknowledgement.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
