--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -42,14 +42,14 @@
 
 TICK_INTERVAL = 0.25
 PROBES_PER_SECOND = 2.0
-LATE_TICK = 0.5
+LATE_TICK_SECONDS = 0.5
 PLATFORM_POLLS_PER_SECOND = 200.0
 """Upper limit on polls of the platform by all daemons together, for the host list and for the settings
 each."""
 HOSTS_POLL_FACTOR = 2.0
-HEARD_POLL_FACTOR = 5.0
-DRAIN_POLL = 0.05
-PLACE_INTERVAL = 1.0
+LIVE_PEERS_POLL_FACTOR = 5.0
+DRAIN_POLL_INTERVAL = 0.05
+PLACEMENT_INTERVAL = 1.0
 HEALTH_PATH = "/healthz"
 READY_PATH = "/readyz"
 ADMIN_PREFIX = "/admin/"
@@ -88,9 +88,9 @@
             self.revisions,
             self.router.usage,
             self.metrics,
-            self._leaving,
+            self._reported_leaving,
             self.placer.recent,
-            self._heard,
+            self._apply_heartbeat,
             self.rng,
         )
         self.presence = Presence(self.metrics)
@@ -98,9 +98,9 @@
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
         self.operators = Operators(config.member, self.router, self.revisions, self.membership, self.ready)
-        self.before: Current = self.revisions.current
-        self.stopping = Event()
-        self.own_leaving: set[BackendId] = set()
+        self.previous: Current = self.revisions.current
+        self.shutdown_requested = Event()
+        self.reported_leaving: set[BackendId] = set()
         self.listed_leaving: set[BackendId] = set()
         self.heard_leaving: dict[BackendId, float] = {}
 
@@ -116,14 +116,14 @@
         use_clock_for_timers()
         callers_socket = _listen(self.config.callers)
         entries_socket = _listen(self.config.entries)
-        self._on_signals()
-        tasks = (self._poll_hosts, self._poll_settings, self._probe, self._tick, self._place)
+        self._install_signal_handlers()
+        tasks = (self._poll_hosts, self._poll_settings, self._probe_loads, self._tick, self._run_placement)
         for task in (*tasks, self.presence.run):
             eventlet.spawn_n(task)
         eventlet.spawn_n(self.membership.serve, entries_socket)
         server = eventlet.spawn(self._serve, callers_socket)
         event("INFO", "started", callers=self.config.callers, entries=self.config.entries)
-        self.stopping.wait()
+        self.shutdown_requested.wait()
         self._drain(server)
 
     def ready(self) -> bool:
@@ -161,17 +161,17 @@
     def _serve(self, sock: socket.socket) -> None:
         callers.serve(sock, self.application, self.config.max_connections, self.config.header_timeout)
 
-    def _on_signals(self) -> None:
-        def told(_: int, __: object) -> None:
+    def _install_signal_handlers(self) -> None:
+        def schedule_shutdown(_: int, __: object) -> None:
             # A signal interrupts the code at any point, so the handler only schedules the action.
-            eventlet.hubs.get_hub().schedule_call_global(0, self._stop)
+            eventlet.hubs.get_hub().schedule_call_global(0, self._handle_termination)
 
-        signal.signal(signal.SIGTERM, told)
-        signal.signal(signal.SIGINT, told)
+        signal.signal(signal.SIGTERM, schedule_shutdown)
+        signal.signal(signal.SIGINT, schedule_shutdown)
 
-    def _stop(self) -> None:
-        if not self.stopping.ready():
-            self.stopping.send()
+    def _handle_termination(self) -> None:
+        if not self.shutdown_requested.ready():
+            self.shutdown_requested.send()
             return
         event("WARNING", "second termination signal, exiting at once", cut=list(self.router.active))
         raise SystemExit(1)
@@ -185,7 +185,7 @@
         server.kill()
         until = now() + self.config.drain_limit
         while self.router.active and now() < until:
-            eventlet.sleep(DRAIN_POLL)
+            eventlet.sleep(DRAIN_POLL_INTERVAL)
         if self.router.active:
             event("WARNING", "drain timed out, aborting requests", cut=list(self.router.active))
         # Finished answers may still be being sent, and their claims stored.
@@ -196,58 +196,58 @@
 
     def _wait_for_claims(self) -> None:
         while self.router.claims.busy():
-            eventlet.sleep(DRAIN_POLL)
+            eventlet.sleep(DRAIN_POLL_INTERVAL)
 
     def _settings_changed(self, current: Current) -> None:
-        before, self.before = self.before, current
+        before, self.previous = self.previous, current
         self.router.sync(current.tree)
         directory = Directory(current.tree)
         self.callers.directory = directory
         self.operators.directory = directory
         self.engines.forget({backend.address for backend in current.tree.backends.values()})
-        self._mark_leaving()
+        self._update_leaving()
         self.membership.changed(before, current)
         self.metrics.gauge("settings.revision", current.revision)
 
     def _poll_hosts(self) -> None:
         """Poll the platform's host list; never returns."""
         while True:
-            self._try("hosts", self._take_hosts)
-            self._pause(HOSTS_POLL_FACTOR)
+            self._log_platform_errors("hosts", self._sync_hosts)
+            self._sleep_until_next_poll(HOSTS_POLL_FACTOR)
 
     def _poll_settings(self) -> None:
         """Poll the head of the settings; less often while other daemons would announce a new one."""
         while True:
-            self._try("settings", self.revisions.poll)
+            self._log_platform_errors("settings", self.revisions.poll)
             heard = self.membership.live() and self.revisions.current.revision
-            self._pause(HEARD_POLL_FACTOR if heard else 1.0)
+            self._sleep_until_next_poll(LIVE_PEERS_POLL_FACTOR if heard else 1.0)
 
-    def _pause(self, factor: float) -> None:
+    def _sleep_until_next_poll(self, factor: float) -> None:
         """Sleep until the next poll; the interval grows with the number of daemons on the platform."""
-        crowd = len(self.membership.listed) / PLATFORM_POLLS_PER_SECOND
-        interval = max(self.config.poll_interval * factor, crowd)
+        min_interval = len(self.membership.listed) / PLATFORM_POLLS_PER_SECOND
+        interval = max(self.config.poll_interval * factor, min_interval)
         eventlet.sleep(interval * self.rng.uniform(0.8, 1.2))
 
-    def _try(self, what: str, ask: Callable[[], None]) -> None:
+    def _log_platform_errors(self, what: str, ask: Callable[[], None]) -> None:
         try:
             ask()
         except BaygladeError as error:
             self.metrics.count(f"platform.{what}_failed")
             event("WARNING", "platform request failed", what=what, error=repr(error))
 
-    def _take_hosts(self) -> None:
+    def _sync_hosts(self) -> None:
         hosts = self.platform.hosts()
         entries = {h.id: h.address for h in hosts if h.kind is HostKind.ENTRY}
         self.membership.sync(entries)  # type: ignore[arg-type]
-        gone = {h.id for h in hosts if h.kind is HostKind.BACKEND and h.state is HostState.LEAVING}
-        self.listed_leaving = {BackendId(host) for host in gone}
-        self._mark_leaving()
+        leaving_hosts = {h.id for h in hosts if h.kind is HostKind.BACKEND and h.state is HostState.LEAVING}
+        self.listed_leaving = {BackendId(host) for host in leaving_hosts}
+        self._update_leaving()
 
-    def _leaving(self) -> list[BackendId]:
+    def _reported_leaving(self) -> list[BackendId]:
         """Return the servers that reported to this daemon that they are leaving, for the other daemons."""
-        return sorted(self.own_leaving)
+        return sorted(self.reported_leaving)
 
-    def _heard(self, member: MemberId, beat: Heartbeat) -> None:
+    def _apply_heartbeat(self, member: MemberId, beat: Heartbeat) -> None:
         """Apply what another daemon's heartbeat says about backend servers."""
         states = self.router.backends.states
         for backend in beat.leaving:
@@ -258,26 +258,26 @@
             if held.backend in states:
                 states[held.backend].hold(held.version)
 
-    def _place(self) -> None:
+    def _run_placement(self) -> None:
         """Run placement, giving the orders that fall to this daemon; never returns."""
         while True:
-            eventlet.sleep(PLACE_INTERVAL * self.rng.uniform(0.8, 1.2))
+            eventlet.sleep(PLACEMENT_INTERVAL * self.rng.uniform(0.8, 1.2))
             if self.trust.good() and not self.membership.draining:
-                self._try("placement", lambda: self.placer.run_once(self.router.tree))
+                self._log_platform_errors("placement", lambda: self.placer.run_once(self.router.tree))
 
-    def _mark_leaving(self) -> None:
+    def _update_leaving(self) -> None:
         """Mark servers as leaving by the host list, other daemons' heartbeats and their own reports."""
-        since = now() - LOST_AFTER
-        self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > since}
+        cutoff = now() - LOST_AFTER
+        self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > cutoff}
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
         self.router.leaving = elsewhere
         for state in self.router.backends.states.values():
             said = state.reported is not None and state.reported.leaving
             if said:
-                self.own_leaving.add(state.id)
+                self.reported_leaving.add(state.id)
             state.leaving = said or state.id in elsewhere
 
-    def _probe(self) -> None:
+    def _probe_loads(self) -> None:
         """Ask the servers for their load in turn, at a bounded rate; never returns."""
         while True:
             for state in list(self.router.backends.states.values()):
@@ -286,9 +286,9 @@
                 if load is not None:
                     self.router.backends.report(state.id, load)
                 if load is not None and load.leaving:
-                    self.own_leaving.add(state.id)
+                    self.reported_leaving.add(state.id)
                 elif load is not None:
-                    self.own_leaving.discard(state.id)
+                    self.reported_leaving.discard(state.id)
             eventlet.sleep(1.0 / PROBES_PER_SECOND)
 
     def _tick(self) -> None:
@@ -298,10 +298,10 @@
             eventlet.sleep(TICK_INTERVAL)
             late = now() - due
             self.metrics.gauge("loop.late_seconds", late)
-            if late > LATE_TICK:
+            if late > LATE_TICK_SECONDS:
                 event("WARNING", "event loop is late", seconds=round(late, 3))
             self.membership.watch()
-            self._mark_leaving()
+            self._update_leaving()
             self.router.divide(len(self.membership.live()) + 1)
             self.router.admission.fail_uncovered()
             self.router.admission.dispatch_all()
@@ -317,10 +317,10 @@
 
 
 def _listen(address: str) -> socket.socket:
-    where = parse_address(address)
+    listen_on = parse_address(address)
     # With eventlet's default of reuse_port, two daemons could silently share a port.
     sock: socket.socket = eventlet.listen(
-        (where.host, where.port), backlog=LISTEN_BACKLOG, reuse_port=False
+        (listen_on.host, listen_on.port), backlog=LISTEN_BACKLOG, reuse_port=False
     )
     # Inherited by accepted connections: Nagle's algorithm would delay tokens until an acknowledgement.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
