--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -173,21 +173,23 @@
         if not self.shutdown_requested.ready():
             self.shutdown_requested.send()
             return
-        event("WARNING", "second termination signal, exiting at once", cut=list(self.router.active))
+        event(
+            "WARNING", "second termination signal, exiting at once", cut=list(self.router.active_requests)
+        )
         raise SystemExit(1)
 
     def _drain(self, server: eventlet.greenthread.GreenThread) -> None:
         """Fail readiness, stop accepting connections, then wait for requests in flight."""
         self.membership.draining = True
         self.membership.beat()
-        event("INFO", "stopping", in_flight=len(self.router.active))
+        event("INFO", "stopping", in_flight=len(self.router.active_requests))
         eventlet.sleep(self.config.balancer_delay)
         server.kill()
         until = now() + self.config.drain_limit
-        while self.router.active and now() < until:
+        while self.router.active_requests and now() < until:
             eventlet.sleep(DRAIN_POLL_INTERVAL)
-        if self.router.active:
-            event("WARNING", "drain timed out, aborting requests", cut=list(self.router.active))
+        if self.router.active_requests:
+            event("WARNING", "drain timed out, aborting requests", cut=list(self.router.active_requests))
         # Finished answers may still be being sent, and their claims stored.
         with eventlet.Timeout(max(0.1, until - now()), False):
             server.wait()
@@ -302,7 +304,7 @@
                 event("WARNING", "event loop is late", seconds=round(late, 3))
             self.membership.watch()
             self._update_leaving()
-            self.router.divide(len(self.membership.live()) + 1)
+            self.router.update_capacity_fraction(len(self.membership.live()) + 1)
             self.router.admission.fail_uncovered()
             self.router.admission.dispatch_all()
 
--- a/bayglade/operators/api.py
+++ b/bayglade/operators/api.py
@@ -128,7 +128,7 @@
                 ready=self.ready(),
                 draining=self.membership.draining,
                 settings_age_seconds=round(self.router.trust.age(), 3),
-                in_flight=len(self.router.active),
+                in_flight=len(self.router.active_requests),
                 waiting=self.router.admission.waiting(),
                 entries_bytes_out=self.membership.bytes_out,
                 entries_bytes_in=self.membership.bytes_in,
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -1,4 +1,4 @@
-"""The router: one object through which every request of a caller passes."""
+"""The router: the object that handles every request of a caller."""
 
 import random
 from collections.abc import Iterator
@@ -31,14 +31,14 @@
 from bayglade.trust import Trust
 from bayglade.usage import USAGE_TAU, Usage
 
-AVOID_SECONDS = 2.0
+FAILED_SERVER_AVOID_SECONDS = 2.0
 SERVICE_COST = 1.0
 CAPACITY_MARGIN = 1.05
-"""What is served now, and a little more, stands for what the pool can serve."""
+"""The capacity of the pool is estimated as what is served at present, plus this margin."""
 
 
 class Router:
-    """Serves completions and calls to plain services under the settings in force."""
+    """Serves completions and calls to plain services according to the settings in force."""
 
     def __init__(
         self,
@@ -63,21 +63,21 @@
         self.limits = GroupLimits(self.usage)
         self.avoid_until: dict[BackendId, float] = {}
         self.leaving: set[BackendId] = set()
-        self.service_budgets: dict[GroupPath, RetryBudget] = {}
-        self.active: dict[str, Request] = {}
+        self.service_retry_budgets: dict[GroupPath, RetryBudget] = {}
+        self.active_requests: dict[str, Request] = {}
 
     def __repr__(self) -> str:
-        return f"<Router {len(self.active)} in flight>"
+        return f"<Router {len(self.active_requests)} in flight>"
 
     def sync(self, tree: Tree) -> None:
-        """Take in a new revision of the settings."""
+        """Apply a new revision of the settings."""
         self.tree = tree
         self.admission.sync(tree)
 
-    def divide(self, heard: int) -> None:
-        """Work out anew which part of every server this daemon may fill.
+    def update_capacity_fraction(self, heard: int) -> None:
+        """Recompute the fraction of every server's capacity that this daemon may use.
 
-        :param heard: how many daemons are heard, this one included.
+        :param heard: number of daemons heard from, including this one.
         """
         at = now()
         part = own_part(
@@ -91,12 +91,12 @@
         self.backends.divide(part)
 
     def claim(self, request: Request, body_sha256: str) -> Claim | Kept | None:
-        """Claim a request that may not be repeated.
+        """Claim the idempotency key of a request that must not run twice.
 
         :param request: the request.
-        :param body_sha256: digest of all that makes it another request.
-        :return: nothing when it is repeatable; the claim; or the kept answer.
-        :raises BaygladeError: when it may not run.
+        :param body_sha256: digest of everything that makes two requests with the same key different.
+        :return: ``None`` if the request needs no claim; else its new claim, or the stored answer.
+        :raises BaygladeError: if the request must not run.
         """
         if request.repeatable or request.idempotency_key is None:
             return None
@@ -107,10 +107,10 @@
         """Run a completion; closing the iterator cancels it.
 
         :param request: the request.
-        :param answer: filled as tokens come.
-        :param claim: the claim of a request that may not be repeated.
-        :return: tokens, in order.
-        :raises BaygladeError: when the answer cannot be made whole.
+        :param answer: receives the tokens as they arrive.
+        :param claim: the claim, if the request must not run twice.
+        :return: the tokens, in order.
+        :raises BaygladeError: if the answer can't be completed.
         """
         with self._admitted(request, request.cost, claim):
             yield from self.completions.run(request, answer)
@@ -119,49 +119,49 @@
         """Call a plain service.
 
         :param request: the request.
-        :param claim: the claim of a request that may not be repeated.
-        :return: the whole answer of the service.
-        :raises BaygladeError: when there is none.
+        :param claim: the claim, if the request must not run twice.
+        :return: the complete answer of the service.
+        :raises BaygladeError: if no server returned one.
         """
         with self._admitted(request, SERVICE_COST, claim):
-            answer = self._call_one_of(request, self.tree.services[request.service])
+            answer = self._call_with_retries(request, self.tree.services[request.service])
         if claim is not None:
             self.claims.keep(claim, answer)
         return answer
 
     @contextmanager
     def _admitted(self, request: Request, cost: float, claim: Claim | None) -> Iterator[None]:
-        """Hold a place under all limits; a claim of what was not run is given back."""
+        """Count the request against all limits; release its claim if it fails without having run."""
         try:
             self.trust.check()
             self.limits.enter(self.tree, request.group, cost, self.trust.member_count())
-            self.active[request.id] = request
+            self.active_requests[request.id] = request
             try:
                 yield
             finally:
-                del self.active[request.id]
+                del self.active_requests[request.id]
                 self.limits.leave(request.group)
         except BaygladeError as error:
             if claim is not None and error.outcome is Outcome.NOT_RUN:
                 self.claims.release(claim)
             raise
 
-    def _call_one_of(self, request: ServiceRequest, service: Service) -> ServiceAnswer:
-        budget = self.service_budgets.setdefault(request.group, RetryBudget())
+    def _call_with_retries(self, request: ServiceRequest, service: Service) -> ServiceAnswer:
+        budget = self.service_retry_budgets.setdefault(request.group, RetryBudget())
         budget.request()
         last: BackendError | None = None
         ran = False
-        for backend in self._ordered(service):
+        for backend in self._candidate_servers(service):
             if last is not None and not budget.retry():
                 break
             if request.seconds_left() <= 0:
-                raise self._too_late(last, ran)
+                raise self._deadline_error(last, ran)
             try:
-                return self._call(request, service, backend)
+                return self._call_server(request, service, backend)
             except BackendError as error:
                 last = error
                 ran = ran or error.outcome is not Outcome.NOT_RUN
-                self.avoid_until[backend] = now() + AVOID_SECONDS
+                self.avoid_until[backend] = now() + FAILED_SERVER_AVOID_SECONDS
                 event("WARNING", "call failed", request=request.id, error=repr(error))
                 if not request.repeatable and not isinstance(error, BackendUnreachable):
                     raise
@@ -175,21 +175,21 @@
             last.outcome = Outcome.UNKNOWN
         raise last
 
-    def _call(self, request: ServiceRequest, service: Service, backend: BackendId) -> ServiceAnswer:
-        # A daemon that was stopped in between must not act on what it knew then.
+    def _call_server(self, request: ServiceRequest, service: Service, backend: BackendId) -> ServiceAnswer:
+        # A daemon whose process was suspended meanwhile must not act on outdated knowledge.
         self.trust.check()
         timeout = min(service.timeout_seconds, request.seconds_left())
         address = service.servers[backend]
         return self.services.call(backend, address, request.call, timeout, not request.repeatable)
 
-    def _ordered(self, service: Service) -> list[BackendId]:
-        """Order the servers: shuffled, those that failed lately last, none that leave."""
+    def _candidate_servers(self, service: Service) -> list[BackendId]:
+        """Return the servers that aren't leaving, shuffled, with those that failed recently last."""
         at = now()
         servers = [backend for backend in service.servers if backend not in self.leaving]
         self.rng.shuffle(servers)
         return sorted(servers, key=lambda backend: self.avoid_until.get(backend, 0.0) > at)
 
-    def _too_late(self, last: BackendError | None, ran: bool) -> BaygladeError:
+    def _deadline_error(self, last: BackendError | None, ran: bool) -> BaygladeError:
         outcome = Outcome.UNKNOWN if ran else Outcome.NOT_RUN
         peer = last.peer if last is not None else ""
         return DeadlinePassed("the deadline passed", step="call", peer=peer, outcome=outcome)
