--- a/bayglade/cli.py
+++ b/bayglade/cli.py
@@ -1,4 +1,4 @@
-"""The program ``bayglade``: the daemon and the commands of operators."""
+"""The command line program ``bayglade``: runs the daemons and the operators' commands."""
 
 import argparse
 import os
@@ -7,23 +7,23 @@
 from pathlib import Path
 
 GREEN_COMMANDS = ("entry", "gateway", "load")
-"""Commands that serve many connections at once."""
+"""Commands that serve many connections at once and therefore run on eventlet's green sockets."""
 
 
 def main() -> None:
-    """Run the program; the green commands get green sockets before anything is imported."""
-    # The library says at import that it only mends bugs by now (docs/design/clashes.md).
+    """Run the program, patching the socket module before other imports for commands that need it."""
+    # eventlet warns on import that it is in maintenance mode; see docs/design/clashes.md.
     warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
     command, arguments = (sys.argv[1:] or [""])[0], sys.argv[2:]
     if command == "gateway" and arguments:
-        # `gateway check` is a command of its own and serves nobody.
+        # `gateway check` is a separate command, which needs no green sockets.
         command = "gateway check"
     if command in GREEN_COMMANDS:
-        # Addresses are IP numbers: green name look-ups would cost 12 MB for nothing.
+        # Addresses are IP literals; eventlet's green DNS resolver would take 12 MB and never be used.
         os.environ["EVENTLET_NO_GREENDNS"] = "yes"
         _patch()
     if command == "entry":
-        # The daemon does without the command line library, which would cost it 4 MB.
+        # Daemons parse their arguments themselves: the command line library would take 4 MB of memory.
         sys.exit(run_entry(arguments))
     if command == "gateway":
         sys.exit(run_gateway())
@@ -35,7 +35,7 @@
 def run_entry(arguments: list[str]) -> int:
     """Run the entry daemon until it is told to stop.
 
-    :param arguments: what stands after ``bayglade entry``.
+    :param arguments: the arguments after ``bayglade entry``.
     :return: the exit code.
     """
     from bayglade.config import load_config
--- a/bayglade/commands.py
+++ b/bayglade/commands.py
@@ -1,4 +1,4 @@
-"""All commands of the program, and those that need no operator's key."""
+"""The list of all commands, and the commands that need no operator key."""
 
 import os
 import secrets
@@ -23,26 +23,26 @@
 
 
 class Load(Command):
-    """Send completions at a set rate and print what came of it."""
+    """Send completions at a fixed rate and print the results."""
 
     name = "load"
-    description = "Send load to daemons, open loop, and measure."
+    description = "Generate open-loop load on daemons and measure the results."
     help = "  BAYGLADE_KEY=... bayglade load --address 127.0.0.1:8080 --rate 50 --seconds 10"
     options: ClassVar[list[Option]] = [
-        option("address", "a", "A daemon's address; may be repeated.", flag=False, multiple=True),
-        option("rate", "r", "Requests a second.", flag=False, default="10"),
-        option("seconds", "s", "How long to send.", flag=False, default="10"),
-        option("tokens", "t", "Tokens a request.", flag=False, default="16"),
-        option("model", "m", "The model.", flag=False, default="guide"),
-        option("service", None, "Call a plain service instead: NAME/PATH.", flag=False),
-        option("deadline", "d", "Seconds a request may take.", flag=False, default="10"),
-        option("trace", None, "File for one line a request.", flag=False),
-        option("seed", None, "Seed of the arrivals.", flag=False, default="1"),
+        option("address", "a", "Address of a daemon; may be repeated.", flag=False, multiple=True),
+        option("rate", "r", "Requests per second.", flag=False, default="10"),
+        option("seconds", "s", "Duration of the run in seconds.", flag=False, default="10"),
+        option("tokens", "t", "Tokens per request.", flag=False, default="16"),
+        option("model", "m", "Name of the model.", flag=False, default="guide"),
+        option("service", None, "Call a plain service instead, given as NAME/PATH.", flag=False),
+        option("deadline", "d", "Deadline of a request in seconds.", flag=False, default="10"),
+        option("trace", None, "File to write one line per request to.", flag=False),
+        option("seed", None, "Random seed of the arrival times.", flag=False, default="1"),
         JSON,
     ]
 
     def handle(self) -> int:
-        """Run the load."""
+        """Run the load and print the results."""
         from bayglade import loads
 
         plan = loads.Plan(
@@ -70,14 +70,14 @@
 
 
 class NewKey(Command):
-    """Make a key and the digest that goes into the settings."""
+    """Generate a key, and its digest for the settings."""
 
     name = "key"
-    description = "Make a new key for an account or an operator."
+    description = "Generate a new key for a client account or an operator."
     help = "  bayglade key"
 
     def handle(self) -> int:
-        """Make a key."""
+        """Generate and print a key."""
         key = secrets.token_urlsafe(32)
         self.line(f"key         {key}")
         self.line(f"key_sha256  {sha256(key.encode()).hexdigest()}")
@@ -85,42 +85,44 @@
 
 
 class Entry(Command):
-    """Names the daemon among the commands; the program runs it before this library loads."""
+    """Lists ``entry`` in the help; :mod:`bayglade.cli` runs it without this library."""
 
     name = "entry"
     description = "Run the entry daemon."
     help = "  bayglade entry --config entry.yaml"
     options: ClassVar[list[Option]] = [
-        option("config", "c", "The daemon's own settings, a YAML file.", flag=False),
+        option("config", "c", "The daemon's settings file (YAML).", flag=False),
     ]
 
     def handle(self) -> int:
-        """Never reached: see :func:`bayglade.cli.main`."""
+        """Never called; see :func:`bayglade.cli.main`."""
         raise NotImplementedError
 
 
 class Gateway(Command):
-    """Names the daemon among the commands; the program runs it before this library loads."""
+    """Lists ``gateway`` in the help; :mod:`bayglade.cli` runs it without this library."""
 
     name = "gateway"
     description = "Run the daemon on the users' platform."
     help = "  bayglade gateway"
 
     def handle(self) -> int:
-        """Never reached: see :func:`bayglade.cli.main`."""
+        """Never called; see :func:`bayglade.cli.main`."""
         raise NotImplementedError
 
 
 class GatewayCheck(Command):
-    """Check the settings file of a gateway."""
+    """Validate the settings file of a gateway."""
 
     name = "gateway check"
-    description = "Check the settings file of a gateway."
+    description = "Validate the settings file of a gateway."
     help = "  bayglade gateway check gateway.yaml"
-    arguments: ClassVar[list[Argument]] = [argument("file", "The file as the platform fills it in.")]
+    arguments: ClassVar[list[Argument]] = [
+        argument("file", "The settings file, filled in by the platform.")
+    ]
 
     def handle(self) -> int:
-        """Check the file."""
+        """Validate the file and print its settings."""
         from bayglade.config import load_gateway_config
 
         try:
@@ -134,20 +136,22 @@
 
 
 class ShowBeliefs(Command):
-    """Show what a gateway takes for true."""
+    """Show a gateway's current view of settings, servers and paths."""
 
     name = "beliefs"
-    description = "Show what a gateway takes for true: settings, servers, paths."
+    description = "Show a gateway's current view of settings, servers and paths."
     help = "  bayglade beliefs 10.1.0.40:9464"
-    arguments: ClassVar[list[Argument]] = [argument("address", "The metrics address of the gateway.")]
+    arguments: ClassVar[list[Argument]] = [
+        argument("address", "Address of the gateway's metrics listener.")
+    ]
     options: ClassVar[list[Option]] = [JSON]
 
     def handle(self) -> int:
-        """Ask the gateway and print its answer."""
+        """Fetch the gateway's view and print it."""
         try:
             response = urllib3.request("GET", f"http://{self.argument('address')}/beliefs", timeout=2.0)
         except urllib3.exceptions.HTTPError as error:
-            self.line_error(f"the gateway cannot be asked: {error}", style="error")
+            self.line_error(f"cannot reach the gateway: {error}", style="error")
             return 1
         if self.option("json"):
             self.line(response.data.decode())
@@ -171,7 +175,7 @@
             self.line(f"  {server.backend} {server.hall} {layers:<9} {server.state} {server.in_flight}")
         for stop in found.stopped:
             ends = ", ".join(stop.ends)
-            self.line(f"  held back {stop.content} for {stop.seconds} s: {ends} ended under it")
+            self.line(f"  blocked {stop.content} for {stop.seconds} s: {ends} went down while running it")
         for path in found.paths:
             self.line(
                 f"  path in {path.hall}, {path.cost_ms} ms a token, {path.use:.0%} full: {path.route}"
@@ -191,7 +195,7 @@
 
 
 def create_application() -> Application:
-    """Build the command line program."""
+    """Create the command line application with all commands."""
     application = Application(__title__, __version__)
     for command in _commands():
         application.add(command)
