--- a/bayglade/cli.py
+++ b/bayglade/cli.py
@@ -6,7 +6,7 @@
 import warnings
 from pathlib import Path
 
-GREEN_COMMANDS = ("entry", "gateway", "load")
+GREEN_SOCKET_COMMANDS = ("entry", "gateway", "load")
 """Commands that serve many connections at once and therefore run on eventlet's green sockets."""
 
 
@@ -18,10 +18,10 @@
     if command == "gateway" and arguments:
         # `gateway check` is a separate command, which needs no green sockets.
         command = "gateway check"
-    if command in GREEN_COMMANDS:
+    if command in GREEN_SOCKET_COMMANDS:
         # Addresses are IP literals; eventlet's green DNS resolver would take 12 MB and never be used.
         os.environ["EVENTLET_NO_GREENDNS"] = "yes"
-        _patch()
+        _monkey_patch()
     if command == "entry":
         # Daemons parse their arguments themselves: the command line library would take 4 MB of memory.
         sys.exit(run_entry(arguments))
@@ -69,7 +69,7 @@
     return 0
 
 
-def _patch() -> None:
+def _monkey_patch() -> None:
     import eventlet
 
     eventlet.monkey_patch()
--- a/bayglade/commands.py
+++ b/bayglade/commands.py
@@ -64,12 +64,14 @@
         self.line(f"sent {result.sent}, good {result.good}, errors {result.errors}")
         self.line(f"{result.good / result.seconds:.1f} good/s, {result.tokens_per_second:.0f} tokens/s")
         for name in ("first_token", "token_gap", "whole"):
-            found: loads.Latencies = getattr(result, name)
-            self.line(f"{name:<12} p50 {found.p50:.2f} p95 {found.p95:.2f} p99 {found.p99:.2f} ms")
+            latencies: loads.Latencies = getattr(result, name)
+            self.line(
+                f"{name:<12} p50 {latencies.p50:.2f} p95 {latencies.p95:.2f} p99 {latencies.p99:.2f} ms"
+            )
         return 0
 
 
-class NewKey(Command):
+class GenerateKey(Command):
     """Generate a key, and its digest for the settings."""
 
     name = "key"
@@ -159,24 +161,22 @@
         self._print(msgspec.json.decode(response.data, type=Beliefs))
         return 0
 
-    def _print(self, found: Beliefs) -> None:
-        state = "draining" if found.draining else "ready" if found.ready else "not ready"
-        self.line(f"{found.member} {state}, {found.in_flight} in flight, {found.waiting} waiting")
-        self.line(
-            f"settings {found.settings}, {found.settings_age} s old; servers {found.servers_age} s old"
-        )
-        for table in found.tables:
+    def _print(self, view: Beliefs) -> None:
+        state = "draining" if view.draining else "ready" if view.ready else "not ready"
+        self.line(f"{view.member} {state}, {view.in_flight} in flight, {view.waiting} waiting")
+        self.line(f"settings {view.settings}, {view.settings_age} s old; servers {view.servers_age} s old")
+        for table in view.tables:
             epoch = "unknown" if table.epoch is None else table.epoch
             self.line(f"  table {table.table}: epoch {epoch}, version {table.version}, {table.age} s old")
-        self.line(f"duty {found.duty}; asks {', '.join(found.asks) or 'the store'}")
-        self.line(f"lease {found.lease}; hears {', '.join(found.members) or 'nobody'}")
-        for server in found.servers:
+        self.line(f"duty {view.duty}; asks {', '.join(view.asks) or 'the store'}")
+        self.line(f"lease {view.lease}; hears {', '.join(view.members) or 'nobody'}")
+        for server in view.servers:
             layers = f"[{server.first},{server.last})"
             self.line(f"  {server.backend} {server.hall} {layers:<9} {server.state} {server.in_flight}")
-        for stop in found.stopped:
+        for stop in view.stopped:
             ends = ", ".join(stop.ends)
             self.line(f"  blocked {stop.content} for {stop.seconds} s: {ends} went down while running it")
-        for path in found.paths:
+        for path in view.paths:
             self.line(
                 f"  path in {path.hall}, {path.cost_ms} ms a token, {path.use:.0%} full: {path.route}"
             )
@@ -223,5 +223,5 @@
         commands.Backends(),
         commands.Groups(),
         Load(),
-        NewKey(),
+        GenerateKey(),
     ]
