--- a/bayglade/config.py
+++ b/bayglade/config.py
@@ -1,7 +1,7 @@
-"""The daemon's own settings: where it listens, where it stands, whom it asks.
+"""Local settings of a daemon: its name, its listening addresses and the services it connects to.
 
-They are read once at start from a YAML file. Everything that operators steer
-lives in the settings tree instead (see :mod:`bayglade.settings`).
+They are read from a YAML file at start. Everything that operators change at run time is in the
+settings tree instead (see :mod:`bayglade.settings`).
 """
 
 import io
@@ -20,7 +20,7 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -30,7 +30,7 @@
 
 
 class Config(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What one daemon knows of itself at start; times are in seconds."""
+    """Local settings of an entry daemon; times are in seconds."""
 
     member: MemberId
     hall: HallName
@@ -55,74 +55,74 @@
 
 
 class GatewayConfig(msgspec.Struct, kw_only=True):
-    """What a daemon on the users' platform knows of itself; fields it does not know are passed over.
+    """Local settings of a daemon on the users' platform; unknown fields are ignored.
 
-    Filled in by the platform from ``deploy/gateway.yaml``.
+    The platform fills in the file from ``deploy/gateway.yaml``.
     """
 
     member: MemberId
     hall: HallName
     callers: str
-    """Where callers are accepted."""
+    """Address that callers connect to."""
 
     ready: str
-    """Where the balancer asks whether this daemon is ready."""
+    """Address at which the balancer probes readiness."""
 
     metrics: str
     store: str
-    """The platform's metadata store."""
+    """Address of the platform's metadata store."""
 
     peer_ports: str = ""
-    """Ports for streams of other gateways, the first and the last; the first is used."""
+    """Port range for streams from other gateways, as its first and last port; only the first is used."""
 
     grace_seconds: float = 8.0
-    """Time between the signal to stop and the end by force."""
+    """Time between the termination signal and the platform killing the process."""
 
     drain_ms: float = 2000.0
-    """Time in which it must be known here that a backend server leaves."""
+    """Time within which this daemon must learn that a backend server is leaving."""
 
     server_heartbeat_ms: float = 1200.0
-    """Time between two writes of a backend server to its entry in the platform's list."""
+    """Interval at which a backend server writes its entry in the platform's list."""
 
     config_ms: float = 2000.0
-    """Time in which a change of the operator's document must be in force here."""
+    """Time within which a change of the operator's document must take effect in this daemon."""
 
     key_trust_ms: float = 5000.0
-    """How old the knowledge of keys may be for requests that carry one."""
+    """Maximum age of the API keys known here, for requests that carry one."""
 
     retry_fraction: float = 0.1
     retry_window_seconds: float = 10.0
     retry_floor: float = 10.0
     link_mbps: float = 0.0
-    """Speed of the host's link; daemons on quick ones read for the others. 0 when it is not known."""
+    """Speed of the host's network link; daemons with fast links read tables for others. 0 if unknown."""
 
     log_level: str = "INFO"
     without: frozenset[Mechanism] = frozenset()
-    """Mechanisms that are switched off, to measure what they are worth."""
+    """Mechanisms to switch off, in order to measure their effect."""
 
     def __repr__(self) -> str:
         return f"<GatewayConfig {self.member} in {self.hall} at {self.callers}>"
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``.
+    """Parse an address of the form ``host:port``.
 
-    :param text: an IP number, a colon and a port.
-    :return: the address.
-    :raises InvalidSettings: when the text is not of that shape.
+    :param text: an IP address, a colon and a port.
+    :return: the parsed address.
+    :raises InvalidSettings: if the text has another form.
     """
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
-        raise InvalidSettings(f"{text!r} is not an IP number, a colon and a port", step="config")
+        raise InvalidSettings(f"{text!r} is not of the form host:port, with an IP address", step="config")
     return Address(host, int(port))
 
 
 def load_config(path: Path) -> Config:
-    """Read and check a daemon's own settings.
+    """Read and validate the local settings of an entry daemon.
 
     :param path: a YAML file.
-    :return: the checked settings.
-    :raises InvalidSettings: when the file is unreadable or a field is wrong.
+    :return: the validated settings.
+    :raises InvalidSettings: if the file is unreadable or a field is invalid.
     """
     config = _load(path, Config)
     for field in (config.callers, config.entries, config.platform):
@@ -131,11 +131,11 @@
 
 
 def load_gateway_config(path: Path) -> GatewayConfig:
-    """Read and check the settings of a daemon on the users' platform.
+    """Read and validate the local settings of a daemon on the users' platform.
 
     :param path: a YAML file.
-    :return: the checked settings.
-    :raises InvalidSettings: when the file is unreadable or a field is wrong.
+    :return: the validated settings.
+    :raises InvalidSettings: if the file is unreadable or a field is invalid.
     """
     config = _load(path, GatewayConfig)
     for field in (config.callers, config.ready, config.metrics, config.store):
@@ -152,8 +152,8 @@
         raise InvalidSettings(f"{path} is larger than {MAX_CONFIG_BYTES} bytes", step="config")
     try:
         if text.startswith("{"):
-            # YAML that is JSON as well is read as JSON: the reader of YAML takes 14 ms to import, a tenth
-            # of a daemon's imports, and all callers wait while all daemons start again.
+            # JSON is a subset of YAML, and importing the YAML parser takes 14 ms, a tenth of a daemon's
+            # import time. When all daemons restart at once, all callers wait for their imports.
             return msgspec.json.decode(text, type=kind)
         return msgspec.convert(_read_yaml(text), kind)
     except (ValueError, msgspec.ValidationError) as error:
