--- a/bayglade/logs.py
+++ b/bayglade/logs.py
@@ -1,8 +1,8 @@
-"""Logs: one set-up for the process, lines for people or JSON lines.
+"""Log configuration of the process, and structured log events.
 
-No prompt, answer text or key is ever logged; a request is named by its id.
-JSON lines go to standard output, no more than a set number a second, and never
-block: what the pipe does not take is dropped, counted, and told of later.
+Prompts, answer texts and keys are never logged; requests are identified by their ids. JSON lines go to
+standard output at a limited rate and without blocking: lines that the pipe doesn't accept are dropped and
+counted, and the next line that is written states the count.
 """
 
 import os
@@ -20,14 +20,14 @@
 
 TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level:<7} {extra[member]} {message} {extra[fields]}"
 LINES_PER_SECOND = 300.0
-"""Some ten times what a daemon logs at the usual load."""
+"""About ten times the number of lines that a daemon logs under usual load."""
 BURST_LINES = 2000.0
 MAX_LINE_BYTES = 4000
-"""Short enough that a pipe takes a line whole or not at all."""
+"""Short enough for a write to a pipe to be atomic."""
 
 
 class LineWriter:
-    """Writes JSON lines to a descriptor, within a rate and without blocking."""
+    """Writes JSON lines to a file descriptor, rate-limited by a token bucket and without blocking."""
 
     def __init__(self, descriptor: int, member: str) -> None:
         self.descriptor = descriptor
@@ -41,9 +41,9 @@
         return f"<LineWriter {self.dropped} dropped>"
 
     def write(self, message: "Message") -> None:
-        """Write one record, or drop it.
+        """Write a record, or drop it if the rate is exceeded or the descriptor would block.
 
-        :param message: the record, as loguru hands it to a sink.
+        :param message: the record, as loguru passes it to a sink.
         """
         at = now()
         self.allowance = min(BURST_LINES, self.allowance + (at - self.at) * LINES_PER_SECOND)
@@ -68,20 +68,20 @@
             os.write(self.descriptor, line)
             self.dropped = 0
         except OSError:
-            # Nobody reads: there is nowhere to say so but the next line that goes out.
+            # The reader is gone or too slow; the next line that is written reports the drop.
             self.dropped += 1
 
 
 def set_up(member: str, log_format: str, level: str) -> None:
     """Send logs to standard error as text, or to standard output as JSON lines.
 
-    :param member: the daemon's name, put on every line.
+    :param member: the daemon's name, added to every line.
     :param log_format: ``"text"`` or ``"json"``.
-    :param level: the least level shown.
+    :param level: the lowest level that is logged.
     """
     logger.remove()
     logger.configure(extra={"member": member, "fields": ""})
-    # Variables in tracebacks could hold prompts and keys, hence diagnose=False.
+    # With diagnose=True, tracebacks would show variables, which may hold prompts and keys.
     if log_format == "json":
         writer = LineWriter(sys.stdout.fileno(), member)
         logger.add(writer.write, format="{message}", level=level, diagnose=False, backtrace=False)
@@ -97,23 +97,24 @@
 
 
 def event(level: str, message: str, **fields: object) -> None:
-    """Log one event with named fields.
+    """Log an event with structured fields.
 
     :param level: a loguru level name.
-    :param message: what happened, the same words each time.
-    :param fields: ids and figures, such as ``request`` and ``peer``.
+    :param message: constant description of the event; variable parts go into the fields.
+    :param fields: ids and values, such as ``request`` and ``peer``.
     """
     text = " ".join(f"{name}={value}" for name, value in fields.items())
     logger.bind(fields=text, **fields).log(level, message)
 
 
 def limited(per_second: float) -> Callable[..., None]:
-    """Return a form of :func:`event` for what others can cause at will, which logs a few lines only.
+    """Return a variant of :func:`event` with its own rate limit, for events that peers can trigger at will.
 
-    A flood of one event would use up the lines of all others.
+    A flood of one event would otherwise use up the line rate of all others.
 
-    :param per_second: lines a second; so many at once after a pause, and one at least.
-    :return: takes what :func:`event` takes; a line tells how many were left out before it.
+    :param per_second: lines per second, and the largest burst; a burst is at least one line.
+    :return: a function with the parameters of :func:`event`; each line states how many were suppressed
+        before it, as ``left_out``.
     """
     most = max(1.0, per_second)
     allowance, at, left_out = most, now(), 0
--- a/bayglade/metrics.py
+++ b/bayglade/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics: counters, timers and gauges over statsd, kept in memory as well.
+"""Metrics: counters, gauges and timings, sent to statsd and kept in memory for Prometheus.
 
-The names are listed in ``docs/operators/metrics.md``.
+The metric names are listed in ``docs/operators/metrics.md``.
 """
 
 from bisect import bisect_left
@@ -12,11 +12,11 @@
 
 PREFIX = "bayglade"
 BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0)
-"""Upper bounds of the buckets of a latency, in seconds."""
+"""Upper bounds of the histogram buckets, in seconds."""
 
 
 class Histogram:
-    """How often a latency fell into each bucket."""
+    """A latency histogram with fixed buckets."""
 
     __slots__ = ("counts", "total")
 
@@ -28,12 +28,12 @@
         return f"<Histogram of {sum(self.counts)}>"
 
     def observe(self, seconds: float) -> None:
-        """Take in one latency."""
+        """Record a latency."""
         self.counts[bisect_left(BOUNDS, seconds)] += 1
         self.total += seconds
 
     def lines(self, name: str) -> list[str]:
-        """Write the buckets, each with all below it, then sum and count."""
+        """Render the cumulative buckets, the sum and the count in the Prometheus text format."""
         lines, so_far = [], 0
         for bound, count in zip((*map(str, BOUNDS), "+Inf"), self.counts, strict=True):
             so_far += count
@@ -42,7 +42,7 @@
 
 
 class Metrics:
-    """Counts and gauges of one daemon; statsd gets them when it is configured."""
+    """Metrics of one daemon; also sent to statsd if a client is given."""
 
     def __init__(self, client: statsd.StatsClient | None) -> None:
         self.client = client
@@ -54,7 +54,7 @@
         return f"<Metrics {len(self.counts)} counters>"
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self.counts[name] += amount
         if self.client is not None:
             self.client.incr(name, amount)
@@ -66,14 +66,14 @@
             self.client.gauge(name, value)
 
     def observe(self, name: str, seconds: float) -> None:
-        """Take a latency into its histogram."""
+        """Record a latency in the histogram of that name."""
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = self.histograms[name] = Histogram()
         histogram.observe(seconds)
 
     def text(self) -> bytes:
-        """Write all figures in the text format of Prometheus."""
+        """Render all metrics in the Prometheus text format."""
         lines = [f"{_name(n)}_total {v}" for n, v in sorted(self.counts.items())]
         lines += [f"{_name(n)} {v:g}" for n, v in sorted(self.gauges.items())]
         for name, histogram in sorted(self.histograms.items()):
@@ -81,16 +81,16 @@
         return ("\n".join(lines) + "\n").encode()
 
     def time(self, name: str, seconds: float) -> None:
-        """Record how long something took."""
+        """Send a duration to statsd."""
         if self.client is not None:
             self.client.timing(name, seconds * 1000)
 
 
 def create_metrics(address: str | None, member: str) -> Metrics:
-    """Build the metrics of a daemon.
+    """Create the metrics of a daemon.
 
-    :param address: where statsd listens on UDP, or nothing.
-    :param member: the daemon's name, part of every metric's name.
+    :param address: UDP address of the statsd server, or ``None`` for no statsd.
+    :param member: the daemon's name, part of every statsd metric name.
     :return: the metrics.
     """
     if address is None:
