--- a/bayglade/completions.py
+++ b/bayglade/completions.py
@@ -94,7 +94,7 @@
         began = now()
         answer.route = self.admission.enter(request)
         avoid: frozenset[BackendId] = frozenset()
-        self.metrics.time("admission.wait", now() - began)
+        self.metrics.send_timing("admission.wait", now() - began)
         event("DEBUG", "granted", request=request.id, group=request.group, wait=round(now() - began, 4))
         try:
             # A daemon that was stopped while the request waited must not act on what it knew.
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -112,7 +112,7 @@
 
         :raises OSError: if a listening address can't be bound.
         """
-        logs.set_up(self.config.member, self.config.log_format, self.config.log_level)
+        logs.configure_logging(self.config.member, self.config.log_format, self.config.log_level)
         use_clock_for_timers()
         callers_socket = _listen(self.config.callers)
         entries_socket = _listen(self.config.entries)
@@ -143,7 +143,7 @@
             event("ERROR", "unexpected error in a request", path=environ["PATH_INFO"], error=repr(error))
             response = error_response(BaygladeError("an error inside the daemon", step="respond"))
         self.metrics.count("requests")
-        self.metrics.time("request.first_byte", now() - started)
+        self.metrics.send_timing("request.first_byte", now() - started)
         # The unread rest of a body would be parsed as the next request.
         close = self.membership.draining or response.status in (400, 413)
         return start(response, environ, start_response, close)
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -24,7 +24,7 @@
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
 from bayglade.freshness import rest_after
 from bayglade.ids import UNKNOWN_EPOCH
-from bayglade.logs import event, limited
+from bayglade.logs import event, rate_limited
 from bayglade.rows import ChangeFeed, Changes, Position, was_restored
 
 FIRST_PAUSE = 0.05
@@ -161,7 +161,7 @@
         self.dropped = 0
         """Updates that were not taken in."""
 
-        self.tell_dropped = limited(DROPPED_LINES_PER_SECOND)
+        self.tell_dropped = rate_limited(DROPPED_LINES_PER_SECOND)
         self.rng = random.Random()
         self.task: eventlet.greenthread.GreenThread | None = None
 
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -184,7 +184,7 @@
 
         :raises OSError: if a listening address can't be bound.
         """
-        logs.set_up(self.config.member, "json", self.config.log_level)
+        logs.configure_logging(self.config.member, "json", self.config.log_level)
         use_clock_for_timers()
         if self.min_staleness_bound < LEAST_BOUND_SECONDS:
             event(
@@ -267,7 +267,7 @@
         if message.target != METRICS_PATH:
             connection.answer(404, [], b"")
             return
-        connection.answer(200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.text())
+        connection.answer(200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.render())
 
     def _serve_caller(self, connection: Connection, message: Message) -> None:
         connection.closing = connection.closing or self.draining
--- a/bayglade/listing.py
+++ b/bayglade/listing.py
@@ -39,7 +39,7 @@
         self.decode = decode
         self.bound = bound
         self.metrics = metrics
-        self.tell_strange = logs.limited(STRANGE_LINES_PER_SECOND)
+        self.tell_strange = logs.rate_limited(STRANGE_LINES_PER_SECOND)
         self.feed: Feed
         """Whoever brings the rows; set once it is made."""
 
--- a/bayglade/logs.py
+++ b/bayglade/logs.py
@@ -32,8 +32,8 @@
     def __init__(self, descriptor: int, member: str) -> None:
         self.descriptor = descriptor
         self.member = member
-        self.allowance = BURST_LINES
-        self.at = now()
+        self.available_lines = BURST_LINES
+        self.refilled_at = now()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
@@ -46,12 +46,14 @@
         :param message: the record, as loguru passes it to a sink.
         """
         at = now()
-        self.allowance = min(BURST_LINES, self.allowance + (at - self.at) * LINES_PER_SECOND)
-        self.at = at
-        if self.allowance < 1:
+        self.available_lines = min(
+            BURST_LINES, self.available_lines + (at - self.refilled_at) * LINES_PER_SECOND
+        )
+        self.refilled_at = at
+        if self.available_lines < 1:
             self.dropped += 1
             return
-        self.allowance -= 1
+        self.available_lines -= 1
         record = message.record
         fields = {
             "time": round(record["time"].timestamp(), 3),
@@ -72,7 +74,7 @@
             self.dropped += 1
 
 
-def set_up(member: str, log_format: str, level: str) -> None:
+def configure_logging(member: str, log_format: str, level: str) -> None:
     """Send logs to standard error as text, or to standard output as JSON lines.
 
     :param member: the daemon's name, added to every line.
@@ -107,7 +109,7 @@
     logger.bind(fields=text, **fields).log(level, message)
 
 
-def limited(per_second: float) -> Callable[..., None]:
+def rate_limited(per_second: float) -> Callable[..., None]:
     """Return a variant of :func:`event` with its own rate limit, for events that peers can trigger at will.
 
     A flood of one event would otherwise use up the line rate of all others.
@@ -116,17 +118,17 @@
     :return: a function with the parameters of :func:`event`; each line states how many were suppressed
         before it, as ``left_out``.
     """
-    most = max(1.0, per_second)
-    allowance, at, left_out = most, now(), 0
+    capacity = max(1.0, per_second)
+    available, refilled_at, left_out = capacity, now(), 0
 
     def limited_event(level: str, message: str, **fields: object) -> None:
-        nonlocal allowance, at, left_out
-        allowance = min(most, allowance + (now() - at) * per_second)
-        at = now()
-        if allowance < 1:
+        nonlocal available, refilled_at, left_out
+        available = min(capacity, available + (now() - refilled_at) * per_second)
+        refilled_at = now()
+        if available < 1:
             left_out += 1
             return
-        allowance -= 1
+        available -= 1
         event(level, message, **fields, left_out=left_out)
         left_out = 0
 
--- a/bayglade/metrics.py
+++ b/bayglade/metrics.py
@@ -11,7 +11,7 @@
 from bayglade.config import parse_address
 
 PREFIX = "bayglade"
-BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0)
+BUCKET_BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0)
 """Upper bounds of the histogram buckets, in seconds."""
 
 
@@ -21,7 +21,7 @@
     __slots__ = ("counts", "total")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BOUNDS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS) + 1)
         self.total = 0.0
 
     def __repr__(self) -> str:
@@ -29,13 +29,13 @@
 
     def observe(self, seconds: float) -> None:
         """Record a latency."""
-        self.counts[bisect_left(BOUNDS, seconds)] += 1
+        self.counts[bisect_left(BUCKET_BOUNDS, seconds)] += 1
         self.total += seconds
 
-    def lines(self, name: str) -> list[str]:
+    def render_lines(self, name: str) -> list[str]:
         """Render the cumulative buckets, the sum and the count in the Prometheus text format."""
         lines, so_far = [], 0
-        for bound, count in zip((*map(str, BOUNDS), "+Inf"), self.counts, strict=True):
+        for bound, count in zip((*map(str, BUCKET_BOUNDS), "+Inf"), self.counts, strict=True):
             so_far += count
             lines.append(f'{name}_bucket{{le="{bound}"}} {so_far}')
         return [*lines, f"{name}_sum {self.total:.6f}", f"{name}_count {so_far}"]
@@ -72,15 +72,15 @@
             histogram = self.histograms[name] = Histogram()
         histogram.observe(seconds)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Render all metrics in the Prometheus text format."""
-        lines = [f"{_name(n)}_total {v}" for n, v in sorted(self.counts.items())]
-        lines += [f"{_name(n)} {v:g}" for n, v in sorted(self.gauges.items())]
+        lines = [f"{_prometheus_name(n)}_total {v}" for n, v in sorted(self.counts.items())]
+        lines += [f"{_prometheus_name(n)} {v:g}" for n, v in sorted(self.gauges.items())]
         for name, histogram in sorted(self.histograms.items()):
-            lines += histogram.lines(_name(name))
+            lines += histogram.render_lines(_prometheus_name(name))
         return ("\n".join(lines) + "\n").encode()
 
-    def time(self, name: str, seconds: float) -> None:
+    def send_timing(self, name: str, seconds: float) -> None:
         """Send a duration to statsd."""
         if self.client is not None:
             self.client.timing(name, seconds * 1000)
@@ -99,5 +99,5 @@
     return Metrics(statsd.StatsClient(where.host, where.port, prefix=f"{PREFIX}.{member}"))
 
 
-def _name(name: str) -> str:
+def _prometheus_name(name: str) -> str:
     return f"{PREFIX}_{name}".replace(".", "_")
--- a/bayglade/platform/calls.py
+++ b/bayglade/platform/calls.py
@@ -7,7 +7,7 @@
 from bayglade.exceptions import InvalidMessage
 from bayglade.heads import Headers, Message, end_to_end
 from bayglade.ids import RequestId
-from bayglade.logs import event, limited
+from bayglade.logs import event, rate_limited
 from bayglade.models import Route
 
 REQUEST_ID = "X-Request-Id"
@@ -120,7 +120,7 @@
     return ",".join(f"{stage.address}={stage.first}-{stage.last}" for stage in route.stages)
 
 
-_log_nonsense = limited(NONSENSE_LINES_PER_SECOND)
+_log_nonsense = rate_limited(NONSENSE_LINES_PER_SECOND)
 
 
 def read_answer(message: Message) -> AnswerHead:
--- a/bayglade/platform/store.py
+++ b/bayglade/platform/store.py
@@ -12,7 +12,7 @@
 from bayglade.config import Address
 from bayglade.exceptions import HistoryGone, PlatformAnswerLost, PlatformUnavailable
 from bayglade.ids import UNKNOWN_EPOCH, StoreEpoch
-from bayglade.logs import limited
+from bayglade.logs import rate_limited
 from bayglade.rows import ABSENT, Changes, Position, Row, Transaction, TransactionResult
 
 CONNECT_TIMEOUT = 0.5
@@ -99,7 +99,7 @@
         self.address = address
         self.answer_seconds = answer_seconds
         self.on_epoch = on_epoch
-        self.tell_strange = limited(STRANGE_LINES_PER_SECOND)
+        self.tell_strange = rate_limited(STRANGE_LINES_PER_SECOND)
         self.pool = self._new_pool()
 
     def __repr__(self) -> str:
--- a/bayglade/quarantine.py
+++ b/bayglade/quarantine.py
@@ -22,7 +22,7 @@
 from bayglade.exceptions import RequestStopped
 from bayglade.fingerprints import fingerprint_of
 from bayglade.ids import BackendId, Fingerprint, ServerKey
-from bayglade.logs import event, limited
+from bayglade.logs import event, rate_limited
 from bayglade.retries import spread_retry_after
 
 FRESH_SECONDS = 1.0
@@ -113,7 +113,7 @@
         self.on_proven: Callable[[list[Fingerprint]], None] = lambda names: None
         """Told of requests under which servers end though they were answered many times before."""
 
-        self.log_refusal = limited(LOGGED_A_SECOND)
+        self.log_refusal = rate_limited(LOGGED_A_SECOND)
 
     def __repr__(self) -> str:
         return f"<Quarantine {len(self.stopped())} stopped of {len(self.evidence)}>"
--- a/tests/test_logs_limited.py
+++ b/tests/test_logs_limited.py
@@ -12,7 +12,7 @@
     at, logged = 100.0, []
     monkeypatch.setattr(logs, "now", lambda: at)
     monkeypatch.setattr(logs, "event", lambda level, message, **fields: logged.append(fields["left_out"]))
-    log = logs.limited(per_second)
+    log = logs.rate_limited(per_second)
     for _ in range(10):
         log("INFO", "it happens")
     assert len(logged) == at_once
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -57,7 +57,7 @@
 ) -> None:
     lines: list[tuple[object, ...]] = []
     monkeypatch.setattr(
-        feeds, "limited", lambda rate: lambda *words, **fields: lines.append((*words, fields))
+        feeds, "rate_limited", lambda rate: lambda *words, **fields: lines.append((*words, fields))
     )
     stored.epoch = None
     client = Store(parse_address(stored.server.address))
