--- a/bayglade/heads.py
+++ b/bayglade/heads.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 messages as they arrive: heads, framing and bodies.
+"""Incremental parser and writer for HTTP/1.1 messages.
 
-The parsing is httptools' (llhttp, strict): it refuses two lengths, both
-framings, and chunks that make no sense. What is added here is what a router
-needs besides: limits, and where one message ends and the next begins.
+Parsing is left to httptools (llhttp in strict mode), which rejects conflicting lengths, messages with both
+framings, and malformed chunks. This module adds size limits, and splits what a connection receives
+into messages.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 from bayglade.exceptions import HeadTooLarge, InvalidMessage, RequestTooLarge
 
 Headers = list[tuple[str, str]]
-"""Names and values as received, in order; names keep their case."""
+"""Names and values as received, in order; the case of names is preserved."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -29,15 +29,15 @@
         "expect",
     }
 )
-"""Headers of one connection (RFC 9110, 7.6.1) and of framing, which each side sets anew."""
+"""Hop-by-hop headers (RFC 9110, 7.6.1) and framing headers, which each connection sets anew."""
 
 FIELD_OVERHEAD = 4
-"""Bytes of a field beside its name and value: colon, space and line end."""
+"""Bytes of a header field besides its name and value: the colon, the space and the line end."""
 BODILESS_STATUSES = (204, 304)
 
 
 class Message:
-    """One HTTP message: its head, then the pieces of its body as they come."""
+    """An HTTP message: its head, and the pieces of its body as they arrive."""
 
     __slots__ = (
         "chunked",
@@ -69,14 +69,14 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Tell whether only the end of the connection ends the body of this response."""
+        """Whether the body of this response is delimited only by the end of the connection."""
         return self.length is None and not self.chunked and self.status not in BODILESS_STATUSES
 
     def header(self, name: str) -> str | None:
         """Return the first value of a header.
 
-        :param name: the name in lower case.
-        :return: its value, or nothing.
+        :param name: the header name in lower case.
+        :return: its value, or ``None`` if the header is missing.
         """
         for key, value in self.headers:
             if key.lower() == name:
@@ -84,16 +84,16 @@
         return None
 
     def body(self) -> bytes:
-        """Return all of the body that has come so far."""
+        """Return the part of the body received so far."""
         return b"".join(self.pieces)
 
 
 class Reader:
-    """Takes bytes of one connection in and gives messages out.
+    """Parses the bytes of a connection into messages.
 
     :param responses: whether the peer sends responses rather than requests.
-    :param max_head_bytes: bound for a head, in bytes.
-    :param max_body_bytes: bound for a body that is collected; none for responses.
+    :param max_head_bytes: size limit of a head, in bytes.
+    :param max_body_bytes: size limit of a body, in bytes; ``None`` for no limit, as for responses.
     """
 
     def __init__(
@@ -104,10 +104,10 @@
         self.messages: deque[Message] = deque()
         self.current: Message | None = None
         self.head_bytes = 0
-        """Bytes read since the last head was whole."""
+        """Bytes read since the last complete head."""
 
         self.field_bytes = 0
-        """Bytes of the fields of the present head, which may come whole in one read."""
+        """Bytes of the fields of the current head; also limits a head that is received in a single read."""
 
         self.body_bytes = 0
         self.parser: httptools.HttpRequestParser | httptools.HttpResponseParser
@@ -117,10 +117,10 @@
         return f"<Reader {len(self.messages)} messages>"
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes.
+        """Parse bytes.
 
-        :param data: as read from the connection.
-        :raises InvalidMessage: when they are no HTTP/1.1, or break a limit.
+        :param data: the bytes, as read from the connection.
+        :raises InvalidMessage: if they aren't valid HTTP/1.1 or exceed a limit.
         """
         if self.current is None or not self.current.head_done:
             self.head_bytes += len(data)
@@ -138,20 +138,20 @@
             raise HeadTooLarge("the head is too large", step="read")
 
     def on_message_begin(self) -> None:
-        """Start a message."""
+        """Start a new message (httptools callback)."""
         self.current = Message()
         self.messages.append(self.current)
         self.body_bytes = 0
         self.field_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Take in a part of the request's target."""
+        """Append to the request target, which may be delivered in parts (httptools callback)."""
         assert self.current is not None
         self.current.target += url
         self._count_field(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header, or a trailer, which is dropped."""
+        """Add a header; trailers are dropped (httptools callback)."""
         assert self.current is not None
         if self.current.head_done:
             return
@@ -159,7 +159,7 @@
         self._count_field(len(name) + len(value) + FIELD_OVERHEAD)
 
     def on_headers_complete(self) -> None:
-        """End the head."""
+        """Finish the head (httptools callback)."""
         message = self.current
         assert message is not None
         message.head_done = True
@@ -179,7 +179,7 @@
             raise RequestTooLarge("the body is larger than the limit", step="read", peer="caller")
 
     def on_body(self, data: bytes) -> None:
-        """Take in a piece of the body."""
+        """Append a piece of the body (httptools callback)."""
         assert self.current is not None
         self.body_bytes += len(data)
         if self.max_body_bytes is not None and self.body_bytes > self.max_body_bytes:
@@ -192,28 +192,28 @@
             raise HeadTooLarge("the head is too large", step="read", peer="caller")
 
     def on_message_complete(self) -> None:
-        """End a message."""
+        """Finish the message (httptools callback)."""
         assert self.current is not None
         self.current.complete = True
         self.current = None
 
 
 def write_head(start: str, headers: Headers) -> bytes:
-    """Write a head.
+    """Encode the head of a message.
 
-    :param start: the request or status line.
+    :param start: the request line or status line.
     :param headers: names and values.
-    :return: the bytes, with the empty line.
+    :return: the encoded head with its terminating empty line.
     """
     lines = [start, *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(lines).encode("latin-1")
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Drop the headers that belong to one connection, also those that it names itself.
+    """Remove hop-by-hop headers, including those that the Connection header names.
 
-    :param headers: as received.
-    :return: those that are passed on, in order.
+    :param headers: headers as received.
+    :return: the headers to forward, in order.
     """
     named = {
         part.strip().lower()
--- a/bayglade/listener.py
+++ b/bayglade/listener.py
@@ -1,7 +1,7 @@
-"""The listener: accepts connections, reads requests from them and hands each to a handler.
+"""HTTP server for callers: accepts connections, reads requests and passes each to a handler.
 
-One task serves a connection. What a handler gets is whole and within the
-limits: nothing of a request that is malformed, cut short or too slow goes on.
+Each connection is served by a green thread of its own. Handlers only get requests that are complete and
+within the limits; malformed, truncated or slow ones are rejected here.
 """
 
 import socket
@@ -21,14 +21,15 @@
 
 BACKLOG = 1024
 SEND_SECONDS = 10.0
-"""How long a caller that does not read may hold up a send."""
+"""Timeout of sending to a caller that doesn't read."""
 LINGER_SECONDS = 0.5
-"""How long bytes of a refused request are read away, so that the answer is not reset."""
+"""How long to read and discard the rest of a rejected request: closing the connection with unread bytes
+would reset it, and the caller could lose the response."""
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Connection:
-    """A caller's connection, as its handler sees it."""
+    """A caller's connection, as passed to the handler."""
 
     __slots__ = ("closing", "limits", "reader", "sent", "sock")
 
@@ -37,49 +38,49 @@
         self.limits = limits
         self.reader = Reader(False, limits.head_bytes, limits.body_bytes)
         self.closing = False
-        """Set when the next answer should be the last."""
+        """Whether the connection closes after the next response."""
         self.sent = False
-        """Whether a byte of the present answer was sent."""
+        """Whether any byte of the current response was sent."""
 
     def __repr__(self) -> str:
         return f"<Connection closing={self.closing}>"
 
     def send(self, data: bytes) -> None:
-        """Send bytes of the answer.
+        """Send bytes of the response.
 
         :param data: the bytes.
-        :raises OSError: when the caller is gone or does not read.
+        :raises OSError: if the caller is gone or doesn't read.
         """
         self.sent = True
         self.sock.sendall(data)
 
     def answer(self, status: int, headers: Headers, content: bytes) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         :param status: the HTTP status.
-        :param headers: without those of framing.
+        :param headers: the headers, without Content-Length and Connection.
         :param content: the body.
-        :raises OSError: when the caller is gone.
+        :raises OSError: if the caller is gone or doesn't read.
         """
         self.send(self.head(status, [*headers, ("Content-Length", str(len(content)))]) + content)
 
     def head(self, status: int, headers: Headers) -> bytes:
-        """Write the head of an answer, with the word on the connection.
+        """Encode the head of a response, adding ``Connection: close`` if it is the last.
 
         :param status: the HTTP status.
-        :param headers: all others.
-        :return: the bytes.
+        :param headers: all other headers.
+        :return: the encoded head.
         """
         if self.closing:
             headers = [*headers, ("Connection", "close")]
         return write_head(f"HTTP/1.1 {status} {reason(status)}", headers)
 
     def refuse(self, error: BaygladeError, request: str = "") -> None:
-        """Answer with an error.
+        """Send an error response.
 
-        :param error: what went wrong.
+        :param error: the error.
         :param request: the request's id, if known.
-        :raises OSError: when the caller is gone.
+        :raises OSError: if the caller is gone or doesn't read.
         """
         headers = [("Content-Type", JSON_TYPE)]
         if error.retry_after is not None:
@@ -87,10 +88,10 @@
         self.answer(error.status, headers, msgspec.json.encode(error_body(error, request)))
 
     def next_request(self) -> Message | None:
-        """Wait for the next whole request.
+        """Wait for the next complete request.
 
-        :return: the request; nothing when the caller closed or stayed idle too long.
-        :raises InvalidMessage: when what came is no proper request.
+        :return: the request, or ``None`` if the caller closed the connection or the idle timeout passed.
+        :raises InvalidMessage: if the bytes received aren't a valid request.
         """
         until = now() + self.limits.idle_seconds
         while True:
@@ -100,7 +101,7 @@
             if not self._receive(until, message):
                 return None
             if message is None and self._begun():
-                # The time for a request counts from its first byte.
+                # The timeout of a request starts with its first byte.
                 until = now() + self.limits.head_seconds
             self._continue()
 
@@ -113,14 +114,14 @@
         except TimeoutError:
             if not self._begun():
                 return False
-            raise SlowHead("the request did not come in time", step="read", peer="caller") from None
+            raise SlowHead("the request was not received in time", step="read", peer="caller") from None
         if not data:
             return False
         self.reader.feed(data)
         return True
 
     def _continue(self) -> None:
-        """Ask for the body where the caller waits for that word (RFC 9110, 10.1.1)."""
+        """Send ``100 Continue`` if the caller waits for it before sending the body (RFC 9110, 10.1.1)."""
         message = self.reader.messages[0] if self.reader.messages else None
         if message is None or message.complete or not message.head_done or message.pieces:
             return
@@ -133,7 +134,7 @@
 
 
 def reason(status: int) -> str:
-    """Return the usual words for a status."""
+    """Return the standard reason phrase of a status."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
@@ -143,10 +144,10 @@
 def listen(host: str, port: int) -> socket.socket:
     """Open a listening socket.
 
-    :param host: an IP number.
+    :param host: an IP address.
     :param port: the port.
     :return: the socket.
-    :raises OSError: when the address cannot be had.
+    :raises OSError: if the address can't be bound.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -156,11 +157,11 @@
 
 
 def serve(listening: socket.socket, limits: Callable[[], CallerLimits], handler: Handler) -> None:
-    """Accept connections until the socket is closed, a task for each.
+    """Accept connections until the socket is closed, serving each in a green thread.
 
-    :param listening: the socket.
-    :param limits: returns the limits in force for new connections.
-    :param handler: serves one request.
+    :param listening: the listening socket.
+    :param limits: returns the limits for new connections.
+    :param handler: serves a request.
     """
     while True:
         try:
@@ -168,8 +169,8 @@
         except OSError as error:
             if listening.fileno() < 0:
                 return
-            # Out of descriptors: those in use will be given back.
-            event("ERROR", "accept failed", error=repr(error))
+            # Out of file descriptors, most likely; retry, as connections in use will free theirs.
+            event("ERROR", "cannot accept a connection", error=repr(error))
             eventlet.sleep(0.05)
             continue
         eventlet.spawn_n(_serve_connection, sock, limits(), handler)
@@ -182,13 +183,13 @@
         while _serve_request(connection, handler):
             pass
     except OSError as error:
-        event("DEBUG", "caller gone", error=repr(error))
+        event("DEBUG", "connection to caller failed", error=repr(error))
     finally:
         sock.close()
 
 
 def _serve_request(connection: Connection, handler: Handler) -> bool:
-    """Serve one request; tell whether another may follow."""
+    """Serve a request; return whether another one may follow on the connection."""
     try:
         message = connection.next_request()
     except InvalidMessage as error:
@@ -204,7 +205,7 @@
 
 
 def _refuse_bad(connection: Connection, error: InvalidMessage) -> None:
-    """Answer a request that is not understood, then close: its end is unknown."""
+    """Reject a malformed request and close the connection, as the end of the request is unknown."""
     event("INFO", "bad request", error=repr(error), large=isinstance(error, HeadTooLarge))
     connection.closing = True
     connection.sock.settimeout(LINGER_SECONDS)
--- a/bayglade/sockets.py
+++ b/bayglade/sockets.py
@@ -1,7 +1,7 @@
-"""Reading from green sockets without losing how a connection ended.
+"""Reading from eventlet's green sockets with resets reported as errors.
 
-eventlet's own ``recv`` turns a reset into an orderly end. A body that ends with
-its connection would then look whole after a reset.
+eventlet's own ``recv`` returns an orderly end on a connection reset. A body that is delimited by the end of
+its connection would then look complete although it was cut off.
 """
 
 import socket
@@ -18,13 +18,13 @@
 
 
 def receive(sock: "GreenSocket", until: float) -> bytes:
-    """Read what is there, or wait for it.
+    """Read available bytes, waiting for the first ones if necessary.
 
     :param sock: a green socket.
-    :param until: when to give up, in monotonic seconds.
-    :return: bytes; none at an orderly end of the connection.
-    :raises TimeoutError: when nothing came in time.
-    :raises OSError: when the connection was reset.
+    :param until: the deadline, in seconds of :func:`bayglade.clock.now`.
+    :return: the bytes; empty if the peer closed the connection.
+    :raises TimeoutError: if nothing arrived before the deadline.
+    :raises OSError: if the connection was reset.
     """
     plain: socket.socket = sock.fd
     while True:
@@ -33,12 +33,12 @@
         except BlockingIOError:
             left = until - now()
             if left <= 0:
-                raise TimeoutError("nothing came in time") from None
+                raise TimeoutError("nothing received before the deadline") from None
             trampoline(plain, read=True, timeout=left, timeout_exc=TimeoutError)
 
 
 def at_rest(sock: "GreenSocket") -> bool:
-    """Tell whether nothing came in on a connection: neither bytes nor its end.
+    """Return whether nothing arrived on a connection, neither bytes nor its end.
 
     :param sock: a green socket.
     """
