--- a/bayglade/calls.py
+++ b/bayglade/calls.py
@@ -6,7 +6,7 @@
 
 from bayglade.clock import now
 from bayglade.endpoints import Endpoint
-from bayglade.heads import Headers, Message
+from bayglade.http1 import Headers, Message
 from bayglade.ids import BackendId, Fingerprint, GroupPath, RequestId, ServiceName
 from bayglade.models import Route
 from bayglade.pipelines import Demand, Pipeline
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -28,7 +28,7 @@
     gather_within,
     wait_within,
 )
-from bayglade.heads import Message
+from bayglade.http1 import Message
 from bayglade.ids import RequestId
 from bayglade.intake import ELSEWHERE_SECONDS, Intake
 from bayglade.leases import Lease
--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -12,7 +12,7 @@
 from bayglade.directory import Directory
 from bayglade.endpoints import Endpoint, Endpoints
 from bayglade.exceptions import BaygladeError, CutOff, InvalidSettings, NotFound, Unauthenticated
-from bayglade.heads import Message
+from bayglade.http1 import Message
 from bayglade.ids import Digest, GroupPath, Revision, ServiceName
 from bayglade.logs import event
 from bayglade.pipelines import Pipeline
--- a/bayglade/listener.py
+++ b/bayglade/listener.py
@@ -13,7 +13,7 @@
 
 from bayglade.clock import now
 from bayglade.exceptions import BaygladeError, HeadTooLarge, InvalidMessage, SlowHead
-from bayglade.heads import Headers, Message, Reader, write_head
+from bayglade.http1 import Headers, Message, Reader, write_head
 from bayglade.logs import event
 from bayglade.responses import JSON_TYPE, error_body
 from bayglade.settings import CallerLimits
--- a/bayglade/platform/calls.py
+++ b/bayglade/platform/calls.py
@@ -5,7 +5,7 @@
 
 from bayglade.calls import AnswerHead, Call, CallHead, Dialect, Sending
 from bayglade.exceptions import InvalidMessage
-from bayglade.heads import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end
 from bayglade.ids import RequestId
 from bayglade.logs import event, rate_limited
 from bayglade.models import Route
--- a/bayglade/platform/engines.py
+++ b/bayglade/platform/engines.py
@@ -7,7 +7,7 @@
 from bayglade.clock import now
 from bayglade.control import OrderOutcome, RerouteOutcome, StageReport
 from bayglade.exceptions import BackendError, InvalidSettings
-from bayglade.heads import write_head
+from bayglade.http1 import write_head
 from bayglade.ids import BackendId, RequestId
 from bayglade.logs import event
 from bayglade.models import Route
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -7,7 +7,7 @@
 from bayglade.calls import AnswerHead, Call, Sending
 from bayglade.clock import now
 from bayglade.exceptions import BackendError, BackendRefused, BackendUnwilling
-from bayglade.heads import Message, write_head
+from bayglade.http1 import Message, write_head
 from bayglade.logs import event
 from bayglade.pathfinding import Path
 from bayglade.places import Place
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -21,7 +21,7 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.heads import Message, end_to_end
+from bayglade.http1 import Message, end_to_end
 from bayglade.ids import BackendId
 from bayglade.listener import Connection
 from bayglade.logs import event
--- a/bayglade/upstream.py
+++ b/bayglade/upstream.py
@@ -7,7 +7,7 @@
 from bayglade.clock import now
 from bayglade.config import parse_address
 from bayglade.exceptions import BackendError, BackendSilent, BackendUnreachable, InvalidMessage
-from bayglade.heads import Message, Reader
+from bayglade.http1 import Message, Reader
 from bayglade.ids import BackendId
 from bayglade.logs import event
 from bayglade.sockets import at_rest, receive
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -13,7 +13,7 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.heads import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end
 from bayglade.listener import Connection
 from bayglade.logs import event
 from bayglade.places import Place
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -10,7 +10,7 @@
 from bayglade.endpoints import Endpoints
 from bayglade.exceptions import InvalidMessage, InvalidSettings, NotFound
 from bayglade.fleet import Fleet
-from bayglade.heads import Message
+from bayglade.http1 import Message
 from bayglade.ids import BackendId
 from bayglade.platform import calls as platform_calls
 from bayglade.platform import decode_document, decode_server
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -13,7 +13,7 @@
 from bayglade.entries.wire import Findings
 from bayglade.exceptions import BackendRefused, BackendUnwilling, Outcome
 from bayglade.fleet import Fleet
-from bayglade.heads import Message
+from bayglade.http1 import Message
 from bayglade.ids import BackendId, Incarnation, MemberId, ServerKey
 from bayglade.quarantine import Quarantine
 from bayglade.relay import Attempts
