--- a/bayglade/http1.py
+++ b/bayglade/http1.py
@@ -14,7 +14,7 @@
 Headers = list[tuple[str, str]]
 """Names and values as received, in order; the case of names is preserved."""
 
-CONNECTION_HEADERS = frozenset(
+PER_CONNECTION_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -31,7 +31,7 @@
 )
 """Hop-by-hop headers (RFC 9110, 7.6.1) and framing headers, which each connection sets anew."""
 
-FIELD_OVERHEAD = 4
+FIELD_OVERHEAD_BYTES = 4
 """Bytes of a header field besides its name and value: the colon, the space and the line end."""
 BODILESS_STATUSES = (204, 304)
 
@@ -42,7 +42,7 @@
     __slots__ = (
         "chunked",
         "complete",
-        "head_done",
+        "head_complete",
         "headers",
         "keep_alive",
         "length",
@@ -61,14 +61,14 @@
         self.length: int | None = None
         self.chunked = False
         self.keep_alive = True
-        self.head_done = False
+        self.head_complete = False
         self.complete = False
 
     def __repr__(self) -> str:
         return f"<Message {self.method or self.status} complete={self.complete}>"
 
     @property
-    def ends_with_connection(self) -> bool:
+    def delimited_by_close(self) -> bool:
         """Whether the body of this response is delimited only by the end of the connection."""
         return self.length is None and not self.chunked and self.status not in BODILESS_STATUSES
 
@@ -88,7 +88,7 @@
         return b"".join(self.pieces)
 
 
-class Reader:
+class MessageParser:
     """Parses the bytes of a connection into messages.
 
     :param responses: whether the peer sends responses rather than requests.
@@ -114,7 +114,7 @@
         self.parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
 
     def __repr__(self) -> str:
-        return f"<Reader {len(self.messages)} messages>"
+        return f"<MessageParser {len(self.messages)} messages>"
 
     def feed(self, data: bytes) -> None:
         """Parse bytes.
@@ -122,7 +122,7 @@
         :param data: the bytes, as read from the connection.
         :raises InvalidMessage: if they aren't valid HTTP/1.1 or exceed a limit.
         """
-        if self.current is None or not self.current.head_done:
+        if self.current is None or not self.current.head_complete:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
@@ -134,7 +134,7 @@
             raise InvalidMessage("upgrades are not supported", step="read") from error
         except httptools.HttpParserError as error:
             raise InvalidMessage(str(error), step="read") from error
-        if self.head_bytes > self.max_head_bytes and not (self.current and self.current.head_done):
+        if self.head_bytes > self.max_head_bytes and not (self.current and self.current.head_complete):
             raise HeadTooLarge("the head is too large", step="read")
 
     def on_message_begin(self) -> None:
@@ -148,21 +148,21 @@
         """Append to the request target, which may be delivered in parts (httptools callback)."""
         assert self.current is not None
         self.current.target += url
-        self._count_field(len(url))
+        self._count_field_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header; trailers are dropped (httptools callback)."""
         assert self.current is not None
-        if self.current.head_done:
+        if self.current.head_complete:
             return
         self.current.headers.append((name.decode("latin-1"), value.decode("latin-1")))
-        self._count_field(len(name) + len(value) + FIELD_OVERHEAD)
+        self._count_field_bytes(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
 
     def on_headers_complete(self) -> None:
         """Finish the head (httptools callback)."""
         message = self.current
         assert message is not None
-        message.head_done = True
+        message.head_complete = True
         message.keep_alive = self.parser.should_keep_alive()
         self.head_bytes = 0
         if isinstance(self.parser, httptools.HttpResponseParser):
@@ -186,7 +186,7 @@
             raise RequestTooLarge("the body is larger than the limit", step="read", peer="caller")
         self.current.pieces.append(data)
 
-    def _count_field(self, size: int) -> None:
+    def _count_field_bytes(self, size: int) -> None:
         self.field_bytes += size
         if self.field_bytes > self.max_head_bytes:
             raise HeadTooLarge("the head is too large", step="read", peer="caller")
@@ -198,7 +198,7 @@
         self.current = None
 
 
-def write_head(start: str, headers: Headers) -> bytes:
+def encode_head(start: str, headers: Headers) -> bytes:
     """Encode the head of a message.
 
     :param start: the request line or status line.
@@ -209,7 +209,7 @@
     return "\r\n".join(lines).encode("latin-1")
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Remove hop-by-hop headers, including those that the Connection header names.
 
     :param headers: headers as received.
@@ -221,5 +221,5 @@
         if name.lower() == "connection"
         for part in value.split(",")
     }
-    dropped = CONNECTION_HEADERS | named
+    dropped = PER_CONNECTION_HEADERS | named
     return [(name, value) for name, value in headers if name.lower() not in dropped]
--- a/bayglade/listener.py
+++ b/bayglade/listener.py
@@ -13,7 +13,7 @@
 
 from bayglade.clock import now
 from bayglade.exceptions import BaygladeError, HeadTooLarge, InvalidMessage, SlowHead
-from bayglade.http1 import Headers, Message, Reader, write_head
+from bayglade.http1 import Headers, Message, MessageParser, encode_head
 from bayglade.logs import event
 from bayglade.responses import JSON_TYPE, error_body
 from bayglade.settings import CallerLimits
@@ -36,7 +36,7 @@
     def __init__(self, sock: socket.socket, limits: CallerLimits) -> None:
         self.sock = sock
         self.limits = limits
-        self.reader = Reader(False, limits.head_bytes, limits.body_bytes)
+        self.reader = MessageParser(False, limits.head_bytes, limits.body_bytes)
         self.closing = False
         """Whether the connection closes after the next response."""
         self.sent = False
@@ -73,7 +73,7 @@
         """
         if self.closing:
             headers = [*headers, ("Connection", "close")]
-        return write_head(f"HTTP/1.1 {status} {reason(status)}", headers)
+        return encode_head(f"HTTP/1.1 {status} {reason(status)}", headers)
 
     def refuse(self, error: BaygladeError, request: str = "") -> None:
         """Send an error response.
@@ -123,7 +123,7 @@
     def _continue(self) -> None:
         """Send ``100 Continue`` if the caller waits for it before sending the body (RFC 9110, 10.1.1)."""
         message = self.reader.messages[0] if self.reader.messages else None
-        if message is None or message.complete or not message.head_done or message.pieces:
+        if message is None or message.complete or not message.head_complete or message.pieces:
             return
         if message.header("expect") is not None:
             message.headers = [(n, v) for n, v in message.headers if n.lower() != "expect"]
--- a/bayglade/platform/calls.py
+++ b/bayglade/platform/calls.py
@@ -5,7 +5,7 @@
 
 from bayglade.calls import AnswerHead, Call, CallHead, Dialect, Sending
 from bayglade.exceptions import InvalidMessage
-from bayglade.http1 import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end_headers
 from bayglade.ids import RequestId
 from bayglade.logs import event, rate_limited
 from bayglade.models import Route
@@ -99,7 +99,7 @@
     :param sending: where it goes, and with how much time.
     :return: the headers, without those of framing.
     """
-    passed = [(n, v) for n, v in end_to_end(call.headers) if n.lower() not in OWN_HEADERS]
+    passed = [(n, v) for n, v in end_to_end_headers(call.headers) if n.lower() not in OWN_HEADERS]
     passed.append((DEADLINE, str(max(1, int(sending.seconds * 1000)))))
     passed.append((INSTANCE, sending.backend))
     if call.group is not None:
--- a/bayglade/platform/engines.py
+++ b/bayglade/platform/engines.py
@@ -7,7 +7,7 @@
 from bayglade.clock import now
 from bayglade.control import OrderOutcome, RerouteOutcome, StageReport
 from bayglade.exceptions import BackendError, InvalidSettings
-from bayglade.http1 import write_head
+from bayglade.http1 import encode_head
 from bayglade.ids import BackendId, RequestId
 from bayglade.logs import event
 from bayglade.models import Route
@@ -183,7 +183,7 @@
             event("INFO", "server not reached", peer=backend, path=path, error=repr(error))
             return Reply()
         try:
-            exchange.send(write_head(f"{method} {path} HTTP/1.1", headers) + body, until)
+            exchange.send(encode_head(f"{method} {path} HTTP/1.1", headers) + body, until)
             answer = exchange.head(until, lambda message: True)
             while (piece := exchange.piece(until)) is not None:
                 pieces.append(piece)
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -7,7 +7,7 @@
 from bayglade.calls import AnswerHead, Call, Sending
 from bayglade.clock import now
 from bayglade.exceptions import BackendError, BackendRefused, BackendUnwilling
-from bayglade.http1 import Message, write_head
+from bayglade.http1 import Message, encode_head
 from bayglade.logs import event
 from bayglade.pathfinding import Path
 from bayglade.places import Place
@@ -57,7 +57,7 @@
         # Opening a connection may take as long as a server takes to say that it wants no more.
         check_sending(peers, call, server)
         _keep_limits(place or path or Place((server,)))
-        exchange.send(write_head(start, headers) + call.body, call.deadline)
+        exchange.send(encode_head(start, headers) + call.body, call.deadline)
     except BaseException:
         exchange.link.sock.close()
         raise
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -21,7 +21,7 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.http1 import Message, end_to_end
+from bayglade.http1 import Message, end_to_end_headers
 from bayglade.ids import BackendId
 from bayglade.listener import Connection
 from bayglade.logs import event
@@ -70,7 +70,7 @@
         if self.begun:
             return b""
         self.begun = True
-        headers = [*end_to_end(message.headers), ("Transfer-Encoding", "chunked")]
+        headers = [*end_to_end_headers(message.headers), ("Transfer-Encoding", "chunked")]
         return self.connection.head(message.status, headers)
 
     def deliver(self, message: Message, events: Iterable[bytes]) -> None:
@@ -374,7 +374,7 @@
         pieces.append(piece)
     if delivery.begun:
         raise BackendError("a stream cannot go on: the server failed", step="stream", peer=exchange.backend)
-    delivery.connection.answer(message.status, end_to_end(message.headers), b"".join(pieces))
+    delivery.connection.answer(message.status, end_to_end_headers(message.headers), b"".join(pieces))
 
 
 def _pass_events(
--- a/bayglade/upstream.py
+++ b/bayglade/upstream.py
@@ -7,7 +7,7 @@
 from bayglade.clock import now
 from bayglade.config import parse_address
 from bayglade.exceptions import BackendError, BackendSilent, BackendUnreachable, InvalidMessage
-from bayglade.http1 import Message, Reader
+from bayglade.http1 import Message, MessageParser
 from bayglade.ids import BackendId
 from bayglade.logs import event
 from bayglade.sockets import at_rest, receive
@@ -34,7 +34,7 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.reader = Reader(True)
+        self.reader = MessageParser(True)
         self.used_at = now()
         self.expires_at = self.used_at + IDLE_SECONDS
 
@@ -220,7 +220,7 @@
             if message is not None and (message.status < 200 or not own(message)):
                 # An interim answer, or one to an earlier call: read it away.
                 strays += message.status >= 200
-                if strays > MAX_STRAYS or message.ends_with_connection:
+                if strays > MAX_STRAYS or message.delimited_by_close:
                     raise self._broken("an answer to another call")
                 self._read_away(message, until)
                 continue
@@ -249,7 +249,7 @@
             if answer.complete:
                 return None
             if not self.receive(until):
-                if not answer.ends_with_connection:
+                if not answer.delimited_by_close:
                     raise self._broken("the answer was cut")
                 answer.complete = True
                 self.dirty = True
@@ -289,7 +289,7 @@
 
     def _first(self) -> Message | None:
         messages = self.link.reader.messages
-        return messages[0] if messages and messages[0].head_done else None
+        return messages[0] if messages and messages[0].head_complete else None
 
     def _read_away(self, message: Message, until: float) -> None:
         while not message.complete:
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -13,7 +13,7 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.http1 import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end_headers
 from bayglade.listener import Connection
 from bayglade.logs import event
 from bayglade.places import Place
@@ -37,7 +37,7 @@
 
     def __init__(self, message: Message, content: bytes) -> None:
         self.status = message.status
-        self.headers: Headers = end_to_end(message.headers)
+        self.headers: Headers = end_to_end_headers(message.headers)
         self.content = content
 
     def __repr__(self) -> str:
