--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -255,22 +255,26 @@
 
     def _serve_readiness(self, connection: Connection, message: Message) -> None:
         if message.target != platform.READY_PATH:
-            connection.answer(404, [], b"")
+            connection.send_response(404, [], b"")
             return
         ready = self.ready()
-        connection.answer(200 if ready else 503, [], b"ready" if ready else b"not ready")
+        connection.send_response(200 if ready else 503, [], b"ready" if ready else b"not ready")
 
     def _serve_metrics(self, connection: Connection, message: Message) -> None:
         if message.target == BELIEFS_PATH:
-            connection.answer(200, [("Content-Type", JSON_TYPE)], msgspec.json.encode(self.beliefs()))
+            connection.send_response(
+                200, [("Content-Type", JSON_TYPE)], msgspec.json.encode(self.beliefs())
+            )
             return
         if message.target != METRICS_PATH:
-            connection.answer(404, [], b"")
+            connection.send_response(404, [], b"")
             return
-        connection.answer(200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.render())
+        connection.send_response(
+            200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.render()
+        )
 
     def _serve_caller(self, connection: Connection, message: Message) -> None:
-        connection.closing = connection.closing or self.draining
+        connection.close_after_response = connection.close_after_response or self.draining
         started = now()
         request = RequestId("")
         try:
@@ -320,16 +324,16 @@
             "request failed",
             request=request,
             error=repr(error),
-            cut=connection.sent,
+            cut=connection.response_started,
             after=round(now() - started, 3),
             settings=self.intake.version,
             age=round(self.document_feed.age(), 2),
         )
-        if connection.sent:
+        if connection.response_started:
             # Part of the answer was sent: only closing the connection shows that it is incomplete.
-            connection.closing = True
+            connection.close_after_response = True
             return
-        connection.refuse(error, request)
+        connection.send_error(error, request)
 
     def _apply_document(self, changes: Changes, whole: bool) -> None:
         value = changes.rows.get(platform.DOCUMENT_KEY)
--- a/bayglade/listener.py
+++ b/bayglade/listener.py
@@ -19,8 +19,8 @@
 from bayglade.settings import CallerLimits
 from bayglade.sockets import receive
 
-BACKLOG = 1024
-SEND_SECONDS = 10.0
+LISTEN_BACKLOG = 1024
+SEND_TIMEOUT = 10.0
 """Timeout of sending to a caller that doesn't read."""
 LINGER_SECONDS = 0.5
 """How long to read and discard the rest of a rejected request: closing the connection with unread bytes
@@ -31,19 +31,19 @@
 class Connection:
     """A caller's connection, as passed to the handler."""
 
-    __slots__ = ("closing", "limits", "reader", "sent", "sock")
+    __slots__ = ("close_after_response", "limits", "parser", "response_started", "sock")
 
     def __init__(self, sock: socket.socket, limits: CallerLimits) -> None:
         self.sock = sock
         self.limits = limits
-        self.reader = MessageParser(False, limits.head_bytes, limits.body_bytes)
-        self.closing = False
+        self.parser = MessageParser(False, limits.head_bytes, limits.body_bytes)
+        self.close_after_response = False
         """Whether the connection closes after the next response."""
-        self.sent = False
+        self.response_started = False
         """Whether any byte of the current response was sent."""
 
     def __repr__(self) -> str:
-        return f"<Connection closing={self.closing}>"
+        return f"<Connection closing={self.close_after_response}>"
 
     def send(self, data: bytes) -> None:
         """Send bytes of the response.
@@ -51,10 +51,10 @@
         :param data: the bytes.
         :raises OSError: if the caller is gone or doesn't read.
         """
-        self.sent = True
+        self.response_started = True
         self.sock.sendall(data)
 
-    def answer(self, status: int, headers: Headers, content: bytes) -> None:
+    def send_response(self, status: int, headers: Headers, content: bytes) -> None:
         """Send a complete response.
 
         :param status: the HTTP status.
@@ -62,20 +62,20 @@
         :param content: the body.
         :raises OSError: if the caller is gone or doesn't read.
         """
-        self.send(self.head(status, [*headers, ("Content-Length", str(len(content)))]) + content)
+        self.send(self.response_head(status, [*headers, ("Content-Length", str(len(content)))]) + content)
 
-    def head(self, status: int, headers: Headers) -> bytes:
+    def response_head(self, status: int, headers: Headers) -> bytes:
         """Encode the head of a response, adding ``Connection: close`` if it is the last.
 
         :param status: the HTTP status.
         :param headers: all other headers.
         :return: the encoded head.
         """
-        if self.closing:
+        if self.close_after_response:
             headers = [*headers, ("Connection", "close")]
-        return encode_head(f"HTTP/1.1 {status} {reason(status)}", headers)
+        return encode_head(f"HTTP/1.1 {status} {reason_phrase(status)}", headers)
 
-    def refuse(self, error: BaygladeError, request: str = "") -> None:
+    def send_error(self, error: BaygladeError, request: str = "") -> None:
         """Send an error response.
 
         :param error: the error.
@@ -85,7 +85,7 @@
         headers = [("Content-Type", JSON_TYPE)]
         if error.retry_after is not None:
             headers.append(("Retry-After", f"{error.retry_after:.3f}"))
-        self.answer(error.status, headers, msgspec.json.encode(error_body(error, request)))
+        self.send_response(error.status, headers, msgspec.json.encode(error_body(error, request)))
 
     def next_request(self) -> Message | None:
         """Wait for the next complete request.
@@ -95,34 +95,34 @@
         """
         until = now() + self.limits.idle_seconds
         while True:
-            message = self.reader.messages[0] if self.reader.messages else None
+            message = self.parser.messages[0] if self.parser.messages else None
             if message is not None and message.complete:
-                return self.reader.messages.popleft()
+                return self.parser.messages.popleft()
             if not self._receive(until, message):
                 return None
-            if message is None and self._begun():
+            if message is None and self._request_started():
                 # The timeout of a request starts with its first byte.
                 until = now() + self.limits.head_seconds
-            self._continue()
+            self._send_continue()
 
-    def _begun(self) -> bool:
-        return bool(self.reader.messages) or self.reader.head_bytes > 0
+    def _request_started(self) -> bool:
+        return bool(self.parser.messages) or self.parser.head_bytes > 0
 
     def _receive(self, until: float, message: Message | None) -> bool:
         try:
             data = receive(self.sock, until)
         except TimeoutError:
-            if not self._begun():
+            if not self._request_started():
                 return False
             raise SlowHead("the request was not received in time", step="read", peer="caller") from None
         if not data:
             return False
-        self.reader.feed(data)
+        self.parser.feed(data)
         return True
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         """Send ``100 Continue`` if the caller waits for it before sending the body (RFC 9110, 10.1.1)."""
-        message = self.reader.messages[0] if self.reader.messages else None
+        message = self.parser.messages[0] if self.parser.messages else None
         if message is None or message.complete or not message.head_complete or message.pieces:
             return
         if message.header("expect") is not None:
@@ -133,7 +133,7 @@
 Handler = Callable[[Connection, Message], None]
 
 
-def reason(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """Return the standard reason phrase of a status."""
     try:
         return HTTPStatus(status).phrase
@@ -152,7 +152,7 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
-    sock.listen(BACKLOG)
+    sock.listen(LISTEN_BACKLOG)
     return sock
 
 
@@ -193,23 +193,23 @@
     try:
         message = connection.next_request()
     except InvalidMessage as error:
-        _refuse_bad(connection, error)
+        _reject_malformed(connection, error)
         return False
     if message is None:
         return False
-    connection.sent = False
-    connection.closing = connection.closing or not message.keep_alive
-    connection.sock.settimeout(SEND_SECONDS)
+    connection.response_started = False
+    connection.close_after_response = connection.close_after_response or not message.keep_alive
+    connection.sock.settimeout(SEND_TIMEOUT)
     handler(connection, message)
-    return not connection.closing
+    return not connection.close_after_response
 
 
-def _refuse_bad(connection: Connection, error: InvalidMessage) -> None:
+def _reject_malformed(connection: Connection, error: InvalidMessage) -> None:
     """Reject a malformed request and close the connection, as the end of the request is unknown."""
     event("INFO", "bad request", error=repr(error), large=isinstance(error, HeadTooLarge))
-    connection.closing = True
+    connection.close_after_response = True
     connection.sock.settimeout(LINGER_SECONDS)
-    connection.refuse(error)
+    connection.send_error(error)
     connection.sock.shutdown(socket.SHUT_WR)
     until = now() + LINGER_SECONDS
     while receive(connection.sock, until):
--- a/bayglade/sockets.py
+++ b/bayglade/sockets.py
@@ -17,7 +17,7 @@
 READ_BYTES = 64 * 1024
 
 
-def receive(sock: "GreenSocket", until: float) -> bytes:
+def receive(sock: "GreenSocket", deadline: float) -> bytes:
     """Read available bytes, waiting for the first ones if necessary.
 
     :param sock: a green socket.
@@ -26,18 +26,18 @@
     :raises TimeoutError: if nothing arrived before the deadline.
     :raises OSError: if the connection was reset.
     """
-    plain: socket.socket = sock.fd
+    raw: socket.socket = sock.fd
     while True:
         try:
-            return plain.recv(READ_BYTES)
+            return raw.recv(READ_BYTES)
         except BlockingIOError:
-            left = until - now()
+            left = deadline - now()
             if left <= 0:
                 raise TimeoutError("nothing received before the deadline") from None
-            trampoline(plain, read=True, timeout=left, timeout_exc=TimeoutError)
+            trampoline(raw, read=True, timeout=left, timeout_exc=TimeoutError)
 
 
-def at_rest(sock: "GreenSocket") -> bool:
+def is_idle(sock: "GreenSocket") -> bool:
     """Return whether nothing arrived on a connection, neither bytes nor its end.
 
     :param sock: a green socket.
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -71,7 +71,7 @@
             return b""
         self.begun = True
         headers = [*end_to_end_headers(message.headers), ("Transfer-Encoding", "chunked")]
-        return self.connection.head(message.status, headers)
+        return self.connection.response_head(message.status, headers)
 
     def deliver(self, message: Message, events: Iterable[bytes]) -> None:
         """Send the events that the caller does not have yet."""
@@ -109,7 +109,7 @@
     :param pipeline: facts of the model.
     :param connection: the caller's connection.
     :raises BaygladeError: when it cannot be answered; what was sent to the caller shows in
-        ``connection.sent``.
+        ``connection.response_started``.
     """
     attempts = Attempts(call)
     delivery = Delivery(connection, call.head.last_event)
@@ -374,7 +374,7 @@
         pieces.append(piece)
     if delivery.begun:
         raise BackendError("a stream cannot go on: the server failed", step="stream", peer=exchange.backend)
-    delivery.connection.answer(message.status, end_to_end_headers(message.headers), b"".join(pieces))
+    delivery.connection.send_response(message.status, end_to_end_headers(message.headers), b"".join(pieces))
 
 
 def _pass_events(
--- a/bayglade/upstream.py
+++ b/bayglade/upstream.py
@@ -10,7 +10,7 @@
 from bayglade.http1 import Message, MessageParser
 from bayglade.ids import BackendId
 from bayglade.logs import event
-from bayglade.sockets import at_rest, receive
+from bayglade.sockets import is_idle, receive
 
 CONNECT_SECONDS = 0.4
 """A connect takes about two milliseconds on the users' links; a lost packet adds 0.2 s or more."""
@@ -43,7 +43,7 @@
 
     def quiet(self) -> bool:
         """Tell whether nothing came in while it rested: neither its end nor stray bytes."""
-        return at_rest(self.sock)
+        return is_idle(self.sock)
 
 
 class Links:
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -80,7 +80,7 @@
         raise attempts.error(peers.rng)
     if answer.status < 500:
         peers.quarantine.answered(call)
-    connection.answer(answer.status, answer.headers, answer.content)
+    connection.send_response(answer.status, answer.headers, answer.content)
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.sent)
 
 
