--- a/bayglade/endpoints.py
+++ b/bayglade/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints: which service answers for a host name and a path, and under what terms."""
+"""Endpoints: the service and the request policy for a host name and a path prefix."""
 
 import random
 from collections.abc import Iterable
@@ -10,19 +10,20 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service that takes part of an endpoint's requests, by weight."""
+    """A service that receives a weighted share of an endpoint's requests."""
 
     service: ServiceName
     weight: float = 1.0
 
 
 class Endpoint(msgspec.Struct, frozen=True, kw_only=True):
-    """A host name and a path prefix, and what holds for requests to them.
+    """A host name and a path prefix, with the policy for requests to them.
 
     Times are in seconds. ``repeatable`` requests may run more than once;
-    ``resumable`` streams may go on at another backend server after the last
-    event that was delivered. ``aim`` is the time to the answer, or to the first
-    event, that the operator wants; ``gap_aim`` the longest pause between events.
+    ``resumable`` streams may continue on another backend server after the last
+    event that was delivered. ``aim`` is the operator's target for the time to
+    the answer, or to the first event; ``gap_aim`` that for the longest pause
+    between events.
     """
 
     name: str
@@ -40,10 +41,10 @@
     public: bool = False
 
     def choose(self, rng: random.Random) -> ServiceName:
-        """Draw the service of one request.
+        """Choose the service for a request, at random by weight.
 
-        :param rng: source of chance.
-        :return: the service, by the weights.
+        :param rng: the source of randomness.
+        :return: the chosen service.
         """
         if len(self.targets) == 1:
             return self.targets[0].service
@@ -52,7 +53,7 @@
 
 
 class Endpoints:
-    """All endpoints of one revision, by host name and prefix."""
+    """The endpoints of one settings revision, indexed by host name and prefix."""
 
     def __init__(self, endpoints: Iterable[Endpoint]) -> None:
         self.by_host: dict[str, dict[str, Endpoint]] = {}
@@ -63,17 +64,17 @@
         return f"<Endpoints of {len(self.by_host)} hosts>"
 
     def find(self, host: str, target: str) -> Endpoint:
-        """Find the endpoint with the longest prefix of a path.
+        """Find the endpoint with the longest prefix that matches a path.
 
-        :param host: the host name asked for; a port is ignored.
-        :param target: the path, with its query.
+        :param host: the requested host name; a port is ignored.
+        :param target: the request target: the path, and the query if any.
         :return: the endpoint.
-        :raises NotFound: when none fits.
+        :raises NotFound: if no endpoint matches.
         """
         prefixes = self.by_host.get(host.partition(":")[0].lower())
         path = target.partition("?")[0]
         while prefixes and path:
-            # Prefixes end with a slash: cut back to the slash before.
+            # Prefixes end with a slash, so shorten the path to its last slash.
             path = path[: path.rfind("/") + 1]
             if path in prefixes:
                 return prefixes[path]
