--- a/bayglade/__init__.py
+++ b/bayglade/__init__.py
@@ -1,8 +1,7 @@
 """Bayglade routes requests for model pipelines over mixed accelerators.
 
-The public surface is small: :func:`load_config` reads a daemon's own settings,
-:func:`create_daemon` builds the daemon, and every error derives from
-:class:`BaygladeError`.
+Public API: :func:`load_config` reads a daemon's local settings, :func:`create_daemon`
+creates the daemon, and all exceptions derive from :class:`BaygladeError`.
 """
 
 from bayglade.__version__ import __version__
@@ -13,11 +12,11 @@
 
 
 def create_daemon(config: Config):  # type: ignore[no-untyped-def]
-    """Build the entry daemon for a configuration, without starting it.
+    """Create an entry daemon from its settings, without starting it.
 
-    The import is local so that command line programs do not load the daemon.
+    The import is local so that commands don't load the daemon's modules.
 
-    :param config: the daemon's own settings.
+    :param config: the daemon's local settings.
     :return: a :class:`bayglade.daemon.Daemon`.
     """
     from bayglade import daemon
--- a/bayglade/__main__.py
+++ b/bayglade/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the program as ``python -m bayglade``."""
+"""Entry point of ``python -m bayglade``."""
 
 from bayglade.cli import main
 
--- a/bayglade/__version__.py
+++ b/bayglade/__version__.py
@@ -1,4 +1,4 @@
-"""Version and metadata of the package, in one place."""
+"""Version and metadata of the package."""
 
 __title__ = "bayglade"
 __description__ = "A router for model pipelines over mixed accelerators."
