--- a/bayglade/mechanisms.py
+++ b/bayglade/mechanisms.py
@@ -1,6 +1,6 @@
-"""Mechanisms of deciding that can be switched off, to measure what each is worth.
+"""Routing mechanisms that can be switched off to measure their effect.
 
-All are on unless a gateway's settings list them under ``without``; see
+All are on unless the ``without`` setting of a gateway lists them; see
 ``benches/ablation.py``.
 """
 
@@ -8,50 +8,50 @@
 
 
 class Mechanism(Enum):
-    """One way of deciding, by the name that it has in the settings."""
+    """A routing mechanism; the value is its name in the settings."""
 
     PAIRS = "pairs"
-    """Two servers of a kind hold the same layers where memory allows."""
+    """Two servers of the same kind hold the same layers where memory allows."""
 
     CROSSING = "crossing"
-    """Stages of several halls make up a path where no hall has a whole one."""
+    """A path may use stages of several halls if no hall has a complete one."""
 
     SPILL = "spill"
-    """Other halls are compared with the own one before that is full."""
+    """Other halls are considered before the daemon's own hall is full."""
 
     CROWDING = "crowding"
-    """A stage costs more the fuller its KV cache is."""
+    """The cost of a stage rises with the fill level of its KV cache."""
 
     WAITING = "waiting"
-    """A request that finds no room waits for it, while its caller does."""
+    """A request that finds no free capacity waits for it, as long as its caller does."""
 
     BEGUN_WAIT = "begun_wait"
-    """A stream that has begun waits for a place, and for a repeat, until its time is over."""
+    """A stream that has delivered events waits for capacity and for a retry until its deadline."""
 
     LEAVE_DEAD = "leave_dead"
-    """A stream keeps its first stage when one behind it is dead, instead of being sent anew."""
+    """When a later stage dies, a stream keeps its first stage and is rerouted instead of sent anew."""
 
     LEAVE_SLOW = "leave_slow"
-    """Streams are moved off stages that turned slow."""
+    """Streams are rerouted off stages that have become slow."""
 
     LEAVE_PLANNED = "leave_planned"
-    """Streams are moved off stages that leave as planned, before these end."""
+    """Streams are rerouted off stages with a planned shutdown, before it happens."""
 
     TURNS = "turns"
-    """A look at a stream that stands still asks few stages of its path, by turns."""
+    """The check of a stalled stream probes a few stages of its path, in rotation, rather than all."""
 
     PATIENCE = "patience"
-    """How long a stream may stand still before it is looked into is learned."""
+    """The time after which a stalled stream is checked is learned from previous streams."""
 
     LENDING = "lending"
-    """Retries that are left in a hall go to the daemon that needs them."""
+    """Unused retry budget of a hall is lent to the daemon that needs it."""
 
     WARM = "warm"
-    """First stages to which a connection rests are preferred."""
+    """First stages to which an idle connection is open are preferred."""
 
     CHANCE = "chance"
-    """Costs of stages vary by chance, so that daemons do not all choose the same one."""
+    """The costs of stages get random jitter, so that daemons don't all choose the same one."""
 
 
-Without = frozenset[Mechanism]
-"""The mechanisms that are switched off."""
+DisabledMechanisms = frozenset[Mechanism]
+"""The set of mechanisms that are switched off."""
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -14,7 +14,7 @@
 from bayglade.entries.wire import ServerLoad
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, HallName, ServerKey, ServiceName
-from bayglade.mechanisms import Mechanism, Without
+from bayglade.mechanisms import DisabledMechanisms, Mechanism
 from bayglade.pathfinding import CostOf, Path, ReadingCost, Search, by_hall, find_detour, find_path
 from bayglade.pipelines import Demand, Pipeline
 from bayglade.pipes import Pipes
@@ -44,7 +44,7 @@
         self,
         fleet: Fleet,
         hall: HallName,
-        without: Without = frozenset(),
+        without: DisabledMechanisms = frozenset(),
         rng: random.Random | None = None,
     ) -> None:
         self.rng = rng
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -28,7 +28,7 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, Fingerprint
 from bayglade.logs import event
-from bayglade.mechanisms import Mechanism, Without
+from bayglade.mechanisms import DisabledMechanisms, Mechanism
 from bayglade.metrics import Metrics
 from bayglade.paths import Paths
 from bayglade.quarantine import Quarantine
@@ -66,7 +66,7 @@
         new_budget: Callable[[], RetryBudget],
         metrics: Metrics,
         rng: random.Random,
-        without: Without = frozenset(),
+        without: DisabledMechanisms = frozenset(),
     ) -> None:
         self.fleet = fleet
         self.paths = paths
