--- a/tests/gateway_callers.py
+++ b/tests/gateway_callers.py
@@ -1,4 +1,4 @@
-"""Requests to a gateway as the tests send them."""
+"""Helpers for tests that send requests to a gateway."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -10,23 +10,23 @@
 
 @dataclass
 class Answer:
-    """What came back for one request."""
+    """The response to a request."""
 
     request: str
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     whole: bool = False
-    """Whether the answer ended as its framing says."""
+    """Whether the response is complete according to its framing."""
 
     @property
     def events(self) -> list[int]:
-        """Return the ids of the events of a stream."""
+        """Return the ids of the received events of a stream."""
         return [int(line[4:]) for line in self.body.split(b"\n") if line.startswith(b"id: ")]
 
 
 def request_bytes(path: str, request: str, method: str = "GET", body: bytes = b"", **headers: str) -> bytes:
-    """Write a request; headers are given with underscores, an empty value leaves one out."""
+    """Encode a request; underscores in header names become hyphens, an empty value omits the header."""
     found = {"Host": HOST_NAME, "X-Request-Id": request, "X-Key": KEY, "X-Deadline-Ms": "4000"}
     if body:
         found["Content-Length"] = str(len(body))
@@ -36,13 +36,13 @@
 
 
 def ask(address: str, path: str, method: str = "GET", body: bytes = b"", **headers: str) -> Answer:
-    """Send a request on a new connection and read its answer to the end."""
+    """Send a request on a new connection and read the complete response."""
     request = f"request-{next(_numbers)}"
     return read_answer(request, exchange(address, request_bytes(path, request, method, body, **headers)))
 
 
 def read_answer(request: str, data: bytes) -> Answer:
-    """Read an answer from all the bytes of a connection."""
+    """Parse a response from all bytes received on a connection."""
     head, end, rest = data.partition(b"\r\n\r\n")
     if not end:
         return Answer(request)
--- a/tests/test_gateway_calls.py
+++ b/tests/test_gateway_calls.py
@@ -1,4 +1,4 @@
-"""Calls through a gateway: bad input, faults of servers, and what the caller is told."""
+"""Calls through a gateway: malformed input, failing servers, and the response that the caller gets."""
 
 import socket
 from collections.abc import Iterator
@@ -16,10 +16,10 @@
 @pytest.fixture(scope="module")
 def running() -> Iterator[tuple[UsersSite, Daemon]]:
     with UsersSite(halls=2) as site:
-        # The cases share one daemon: each would take from the next one's budget for repeats.
+        # All cases share one daemon, so they would otherwise exhaust each other's retry budget.
         daemon = site.start(retry_floor=1000)
         site.wait_placed()
-        wait_for("the daemon knows all layers", lambda: ask(daemon.callers, "/stream/x").status == 200)
+        wait_for("all layers are known", lambda: ask(daemon.callers, "/stream/x").status == 200)
         yield site, daemon
 
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_bad_input_gets_a_clear_answer_and_reaches_no_server(
+def test_malformed_input_is_rejected_and_reaches_no_server(
     site: UsersSite, daemon: Daemon, name: str
 ) -> None:
     data, status = BAD[name]
@@ -98,7 +98,7 @@
 
 
 ONCE = {
-    # fault of the server: status for the caller, runs
+    # fault of the server: status for the caller, number of executions
     "": (200, 1),
     "unframed": (200, 1),
     "stray": (200, 1),
@@ -116,9 +116,7 @@
 
 
 @pytest.mark.parametrize("fault", ONCE)
-def test_a_call_that_may_not_be_repeated_runs_once_at_most(
-    site: UsersSite, daemon: Daemon, fault: str
-) -> None:
+def test_a_non_repeatable_call_runs_at_most_once(site: UsersSite, daemon: Daemon, fault: str) -> None:
     status, runs = ONCE[fault]
     for replica in site.of(PLAIN):
         replica.faults.set(fault)
@@ -132,9 +130,11 @@
 
 
 @pytest.mark.parametrize("fault", [f for f in ONCE if f != "elsewhere" and ONCE[f][0] != 200])
-def test_a_repeatable_call_is_tried_at_another_server(site: UsersSite, daemon: Daemon, fault: str) -> None:
+def test_a_repeatable_call_is_retried_on_another_server(
+    site: UsersSite, daemon: Daemon, fault: str
+) -> None:
     first, second = site.of(PLAIN)
-    # Whichever is taken first fails, the other one serves.
+    # The server that is chosen first fails; the other one serves the call.
     for replica in (first, second):
         replica.faults.set(fault, 1)
     answers = [ask(daemon.callers, "/safe/x") for _ in range(3)]
@@ -143,11 +143,11 @@
     recover(site, daemon)
 
 
-def test_a_refusal_after_a_sending_that_may_have_run_promises_nothing(
+def test_a_refusal_after_an_attempt_that_may_have_run_leaves_the_outcome_unknown(
     site: UsersSite, daemon: Daemon
 ) -> None:
     def refused_last() -> Answer | None:
-        # Which server is tried first is drawn; servers listed anew have no failures to their name.
+        # The server tried first is random; newly listed servers have no recorded failures.
         recover(site, daemon)
         first, second = site.of(PLAIN)
         first.faults.set("cut")
@@ -156,22 +156,24 @@
         failed = [line for line in daemon.lines("attempt failed") if line["request"] == answer.request]
         return answer if [line["peer"] for line in failed] == [first.id, second.id] else None
 
-    refused = wait_for("it is cut, then refused", refused_last)
+    refused = wait_for("one attempt is cut off, the next one refused", refused_last)
     assert refused.status == 502
     assert b'"outcome":"unknown"' in refused.body
     recover(site, daemon)
 
 
-def test_a_server_whose_address_another_one_has_gets_nothing_more(site: UsersSite, daemon: Daemon) -> None:
+def test_a_server_whose_address_belongs_to_another_one_gets_no_more_requests(
+    site: UsersSite, daemon: Daemon
+) -> None:
     first, _ = site.of(PLAIN)
     first.faults.set("elsewhere")
 
     def refused() -> list[dict[str, Any]]:
-        # The case before may have left it suspect for some seconds.
+        # The server may still be suspect for some seconds because of an earlier case.
         ask(daemon.callers, "/safe/x")
         return [line for line in daemon.lines("server leaving") if line["peer"] == first.id]
 
-    wait_for("it was tried", refused)
+    wait_for("the server was tried", refused)
     for _ in range(6):
         ask(daemon.callers, "/safe/x")
     assert len(refused()) == 1
@@ -180,22 +182,24 @@
 
 
 def recover(site: UsersSite, daemon: Daemon) -> None:
-    """Wait until all servers are used again, so that the next case starts alike."""
+    """Wait until all servers are used again, so that each case starts in the same state."""
     for replica in site.replicas:
         replica.faults.clear()
-    # A server whose address another one has is gone for good: list it anew under a new id.
+    # A server whose address belongs to another one stays excluded: register it again under a new id.
     for replica in site.of(PLAIN):
         site.store.drop("servers", replica.id)
         replica.id += "n"
         replica.register()
     known = {replica.id for replica in site.of(PLAIN)}
     wait_for(
-        "the servers are listed anew",
+        "the servers are listed again",
         lambda: known <= {line["peer"] for line in daemon.lines("server listed")},
     )
 
 
-def test_a_request_goes_on_unchanged_but_for_what_the_router_sets(site: UsersSite, daemon: Daemon) -> None:
+def test_a_request_is_forwarded_unchanged_except_for_router_headers(
+    site: UsersSite, daemon: Daemon
+) -> None:
     answer = ask(
         daemon.callers,
         "/once/a/b?c=%2F",
@@ -219,11 +223,11 @@
     assert ask(daemon.callers, "/open/x", X_Key="").status == 200
 
 
-def test_a_kept_connection_serves_request_after_request(site: UsersSite, daemon: Daemon) -> None:
+def test_a_persistent_connection_serves_consecutive_requests(site: UsersSite, daemon: Daemon) -> None:
     data = b"".join(request_bytes("/once/x", f"kept-{n}", "POST", b"body") for n in range(3))
     host, _, port = daemon.callers.rpartition(":")
     answer = b""
-    # The caller stays until all are answered: what it leaves behind is rightly not run.
+    # Keep the connection open until all are answered: requests of a caller that left need not run.
     with socket.create_connection((host, int(port)), timeout=5) as kept:
         kept.sendall(data)
         while b"answer to kept-2" not in answer:
@@ -236,20 +240,20 @@
     assert [site.runs(f"kept-{n}") for n in range(3)] == [1, 1, 1]
 
 
-def test_a_stream_passes_event_by_event_over_all_layers(site: UsersSite, daemon: Daemon) -> None:
+def test_a_stream_is_relayed_event_by_event_across_all_layers(site: UsersSite, daemon: Daemon) -> None:
     answer = ask(daemon.callers, "/stream/x")
     assert answer.whole
     assert answer.events == list(range(1, EVENTS + 1))
     assert site.wrong_paths == []
 
 
-def test_a_caller_goes_on_after_its_last_event(daemon: Daemon) -> None:
+def test_a_caller_resumes_after_its_last_event_id(daemon: Daemon) -> None:
     answer = ask(daemon.callers, "/stream/x", Last_Event_Id="7")
     assert answer.events == list(range(8, EVENTS + 1))
 
 
 @pytest.mark.parametrize("fault", ["reset", "partial", "refuse", "elsewhere"])
-def test_a_stream_goes_on_at_another_server_inside_the_same_answer(
+def test_a_stream_continues_on_another_server_within_the_same_response(
     site: UsersSite, daemon: Daemon, fault: str
 ) -> None:
     for replica in site.of(MODEL):
@@ -257,7 +261,8 @@
     answer = ask(daemon.callers, "/stream/x")
     for replica in site.of(MODEL):
         replica.faults.clear()
-    # Two sendings are allowed, and each server fails once: whole, or never complete in looks.
+    # Two attempts are allowed and each server fails once, so the stream may be incomplete, but must not
+    # look complete then.
     assert answer.events == list(range(1, len(answer.events) + 1))
     assert not answer.whole or answer.status >= 500 or len(answer.events) == EVENTS
     assert site.wrong_paths == []
@@ -269,7 +274,7 @@
         wait_for("streams are served again", lambda: ask(daemon.callers, "/stream/x").events)
 
 
-def test_a_stream_that_one_server_cuts_is_whole(site: UsersSite, daemon: Daemon) -> None:
+def test_a_stream_cut_off_by_one_server_is_complete(site: UsersSite, daemon: Daemon) -> None:
     before = {replica.id: sum(replica.ran.values()) for replica in site.of(MODEL)}
     first = ask(daemon.callers, "/stream/x")
     assert first.events
