--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by all tests: worlds of processes on loopback, fixed seeds."""
+"""Fixtures shared by all tests: worlds of local processes, and a deterministic hypothesis profile."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 pytest_plugins = ["tests.steps", "tests.steps_settings", "tests.steps_placement"]
 
-# The same examples every time, and no verdict that depends on the clock.
+# The same examples in every run, and no failures that depend on timing.
 hypothesis.settings.register_profile(
     "fixed",
     derandomize=True,
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The program as one file: it serves, and it starts no other process."""
+"""The single-file build of the program: it serves requests and starts no other process."""
 
 from pathlib import Path
 
@@ -11,9 +11,9 @@
 BINARY = Path(__file__).parent.parent / "dist" / "bayglade"
 
 
-def test_the_one_file_serves_and_starts_no_other_process(world: World, monkeypatch):
-    assert BINARY.exists(), "make binary makes it, and make test calls that"
-    # On hosts without disks this is a memory file system.
+def test_the_binary_serves_and_starts_no_other_process(world: World, monkeypatch):
+    assert BINARY.exists(), "build it with `make binary`, as `make test` does"
+    # The folder is a memory file system on hosts without disks.
     monkeypatch.setenv("SHIV_ROOT", str(world.folder / "unpacked"))
     world.start_platform()
     engine = world.start_engine("e1", 0, 8)
@@ -31,5 +31,5 @@
 
 @pytest.mark.parametrize("command", ["entry", "settings apply", "status", "load"])
 def test_every_command_has_help(world: World, command):
-    code, said = world.cli(*command.split(), "--help")
-    assert code == 0 and "sage" in said
+    code, output = world.cli(*command.split(), "--help")
+    assert code == 0 and "sage" in output
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -1,4 +1,4 @@
-"""Faults around a gateway: the store, dead stages, changes of settings, planned stops."""
+"""Failures around a gateway: an unreachable store, dead stages, settings changes and planned shutdowns."""
 
 import signal
 import socket
@@ -22,7 +22,7 @@
         yield made
 
 
-def served(daemon: Daemon, path: str = "/stream/x", **headers: str) -> bool:
+def succeeds(daemon: Daemon, path: str = "/stream/x", **headers: str) -> bool:
     return ask(daemon.callers, path, **headers).whole and ask(daemon.callers, path, **headers).status == 200
 
 
@@ -36,7 +36,7 @@
 def test_a_dead_stage_is_replaced_while_its_stream_runs(site: UsersSite) -> None:
     daemon = site.start()
     site.wait_placed()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     known = {request for replica in site.of(MODEL) for request in replica.paths}
     answers, thread = start_stream(daemon)
     head = wait_for(
@@ -55,10 +55,10 @@
     assert site.wrong_paths == []
 
 
-def test_a_dead_first_stage_does_not_end_the_answer(site: UsersSite) -> None:
+def test_a_dead_first_stage_does_not_end_the_response(site: UsersSite) -> None:
     daemon = site.start()
     site.wait_placed()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     ask(daemon.callers, "/stream/x")
     head = max(site.of(MODEL), key=lambda r: sum(r.ran.values()))
     answers, thread = start_stream(daemon)
@@ -69,38 +69,38 @@
     assert answers[0].whole
 
 
-def test_layers_of_lost_servers_are_placed_anew(site: UsersSite) -> None:
+def test_layers_of_lost_servers_are_placed_on_others(site: UsersSite) -> None:
     daemon = site.start()
     site.wait_placed()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     victim = site.of(MODEL)[0]
-    twins = [r for r in site.of(MODEL) if r.held == victim.held]
-    for replica in twins:
+    replicas_of_range = [r for r in site.of(MODEL) if r.held == victim.held]
+    for replica in replicas_of_range:
         replica.die()
         site.replicas.remove(replica)
         site.store.drop("servers", replica.id)
-    wait_for("the layers are held again", site._placed)
-    wait_for("streams are served again", lambda: served(daemon))
+    wait_for("the layers are placed again", site._placed)
+    wait_for("streams are served again", lambda: succeeds(daemon))
     assert site.wrong_paths == []
 
 
-def test_only_one_daemon_gives_orders(site: UsersSite) -> None:
+def test_only_one_daemon_gives_placement_orders(site: UsersSite) -> None:
     daemons = [site.start() for _ in range(3)]
     site.wait_placed()
     for daemon in daemons:
-        wait_for("streams are served", lambda daemon=daemon: served(daemon))
-    givers = [daemon for daemon in daemons if daemon.lines("order given")]
-    assert len(givers) == 1
-    refused = [line for line in givers[0].lines("order given") if line["outcome"] == "refused"]
+        wait_for("streams are served", lambda daemon=daemon: succeeds(daemon))
+    placers = [daemon for daemon in daemons if daemon.lines("order given")]
+    assert len(placers) == 1
+    refused = [line for line in placers[0].lines("order given") if line["outcome"] == "refused"]
     assert refused == []
 
 
 @pytest.mark.parametrize("fault", ["busy", "silent"])
-def test_serving_goes_on_without_the_store_until_keys_are_too_old(site: UsersSite, fault: str) -> None:
+def test_serving_continues_without_the_store_until_keys_are_too_old(site: UsersSite, fault: str) -> None:
     daemon = site.start(key_trust_ms=4000)
-    wait_for("calls are served", lambda: served(daemon, "/once/x"))
+    wait_for("calls are served", lambda: succeeds(daemon, "/once/x"))
     site.store.faults.set(fault)
-    assert served(daemon, "/once/x")
+    assert succeeds(daemon, "/once/x")
     wait_for("keys are no longer trusted", lambda: ask(daemon.callers, "/once/x").status == 503)
     refused = ask(daemon.callers, "/once/x")
     assert site.runs(refused.request) == 0
@@ -108,47 +108,47 @@
     assert ask(daemon.callers, "/open/x", X_Key="").status == 200
     assert not daemon.is_ready()
     site.store.faults.clear()
-    wait_for("keyed calls are served again", lambda: served(daemon, "/once/x"))
+    wait_for("keyed calls are served again", lambda: succeeds(daemon, "/once/x"))
 
 
-def test_a_key_that_is_taken_away_runs_nothing_more(site: UsersSite) -> None:
+def test_requests_with_a_revoked_key_are_rejected(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("calls are served", lambda: served(daemon, "/once/x"))
+    wait_for("calls are served", lambda: succeeds(daemon, "/once/x"))
     site.configure(keys=("another",))
     wait_for("the key is refused", lambda: ask(daemon.callers, "/once/x").status == 401, 2.0)
     assert ask(daemon.callers, "/once/x", X_Key="another").status == 200
 
 
-def test_an_older_configuration_is_never_taken(site: UsersSite) -> None:
+def test_an_older_configuration_is_never_applied(site: UsersSite) -> None:
     daemon = site.start()
     site.configure(keys=("another",), version=50)
     wait_for("the new key is known", lambda: ask(daemon.callers, "/once/x", X_Key="another").status == 200)
     site.configure(keys=(KEY,), version=49)
-    wait_for("the old one was seen", lambda: daemon.lines("older settings ignored"))
+    wait_for("the older version was seen", lambda: daemon.lines("older settings ignored"))
     assert ask(daemon.callers, "/once/x").status == 401
 
 
-def test_a_forgotten_history_is_read_whole(site: UsersSite) -> None:
+def test_a_table_without_history_is_read_in_full(site: UsersSite) -> None:
     daemon = site.start()
     site.store.faults.set("forgotten", 2)
-    wait_for("the history is gone", lambda: daemon.lines("history gone"))
+    wait_for("the history is found missing", lambda: daemon.lines("history gone"))
     site.configure(keys=("another",))
     wait_for("the change is known", lambda: ask(daemon.callers, "/once/x", X_Key="another").status == 200)
 
 
-def test_a_lost_answer_to_the_lease_does_not_stop_placement(site: UsersSite) -> None:
+def test_a_lost_lease_response_does_not_stop_placement(site: UsersSite) -> None:
     site.store.faults.set("lost", 1)
     daemon = site.start()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
 
 
-def test_a_leaving_server_gets_nothing_new(site: UsersSite) -> None:
+def test_a_leaving_server_gets_no_new_requests(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("calls are served", lambda: served(daemon, "/once/x"))
+    wait_for("calls are served", lambda: succeeds(daemon, "/once/x"))
     leaving, staying = site.of(PLAIN)
     leaving.state = "draining"
     leaving.register()
-    wait_for("it is known to leave", lambda: daemon.lines("server leaving"), 2.0)
+    wait_for("the leaving server is known", lambda: daemon.lines("server leaving"), 2.0)
     before = sum(leaving.ran.values())
     answers = [ask(daemon.callers, "/once/x") for _ in range(8)]
     assert {answer.status for answer in answers} == {200}
@@ -156,11 +156,11 @@
     assert sum(staying.ran[answer.request] for answer in answers) == 8
 
 
-def test_entries_that_lapse_in_an_outage_may_come_back(site: UsersSite) -> None:
+def test_entries_that_lapse_in_a_store_outage_may_return(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("calls are served", lambda: served(daemon, "/once/x"))
+    wait_for("calls are served", lambda: succeeds(daemon, "/once/x"))
     site.store.faults.set("busy")
-    wait_for("the store is lost", lambda: daemon.lines("store lost"))
+    wait_for("the store is found unreachable", lambda: daemon.lines("store lost"))
     gone, lapsed = site.of(PLAIN)
     for replica in (gone, lapsed):
         site.store.drop("servers", replica.id)
@@ -168,14 +168,14 @@
     wait_for("the entries lapsed", lambda: len(daemon.lines("server lapsed")) == 2)
     assert ask(daemon.callers, "/once/x").status == 200
     lapsed.register()
-    wait_for("the other one is gone", lambda: daemon.lines("server gone"))
+    wait_for("the entry that stays away is removed", lambda: daemon.lines("server gone"))
     assert [line["peer"] for line in daemon.lines("server gone")] == [gone.id]
     assert ask(daemon.callers, "/once/x").status == 200
 
 
-def test_a_planned_stop_cuts_nothing(site: UsersSite) -> None:
+def test_a_planned_shutdown_aborts_no_request(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     host, _, port = daemon.callers.rpartition(":")
     kept = socket.create_connection((host, int(port)), timeout=5)
     kept.sendall(request_bytes("/once/x", "kept-before", "POST", b"body"))
@@ -183,13 +183,13 @@
     answers, thread = start_stream(daemon)
     time.sleep(0.05)
     daemon.signal(signal.SIGTERM)
-    wait_for("it is not ready", lambda: not quietly(daemon.is_ready), 1.0)
+    wait_for("the daemon is not ready", lambda: not quietly(daemon.is_ready), 1.0)
     kept.sendall(request_bytes("/once/x", "kept-after", "POST", b"body"))
     late = read_answer("kept-after", kept.recv(65536))
     assert (late.status, late.headers["connection"]) == (200, "close")
     thread.join(10)
     assert answers[0].whole
-    # Later requests that may not be over in time are refused, and not run; short ones are served.
+    # Later requests that might not finish in time are refused without being run; short ones are served.
     late_stream = {"X_Deadline_Ms": "5000"}
     wait_for("streams are refused", lambda: ask(daemon.callers, "/stream/x", **late_stream).status == 503)
     assert ask(daemon.callers, "/once/x").status == 200
@@ -200,9 +200,9 @@
     assert daemon.lines("stopped")[0]["cut"] == []
 
 
-def test_a_spent_budget_for_repeats_is_told_of(site: UsersSite) -> None:
+def test_an_exhausted_retry_budget_is_logged(site: UsersSite) -> None:
     daemon = site.start(retry_floor=0, retry_fraction=0.0)
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     for replica in site.of(MODEL):
         replica.faults.set("reset")
     cut = ask(daemon.callers, "/stream/x")
@@ -211,17 +211,17 @@
     assert cut.request in [line["request"] for line in daemon.lines("retry budget spent")]
 
 
-def test_a_caller_that_leaves_ends_the_work(site: UsersSite) -> None:
+def test_a_disconnecting_caller_is_noticed(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     host, _, port = daemon.callers.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=5) as caller:
         caller.sendall(request_bytes("/stream/x", "leaver"))
         assert caller.recv(65536)
-    wait_for("its leaving is noticed", lambda: daemon.lines("caller left"), 1.0)
+    wait_for("the disconnect is noticed", lambda: daemon.lines("caller left"), 1.0)
 
 
-def test_settings_are_read_again_on_a_signal_and_when_the_file_changes(site: UsersSite) -> None:
+def test_settings_are_reloaded_on_a_signal_and_on_file_changes(site: UsersSite) -> None:
     daemon = site.start()
     daemon.settings["key_trust_ms"] = 9000
     daemon.write()
@@ -229,13 +229,13 @@
     daemon.signal(signal.SIGHUP)
     wait_for("the signal was noticed", lambda: len(daemon.lines("reloaded")) == 2)
     daemon.file.write_text("member: [", encoding="utf-8")
-    wait_for("what makes no sense is refused", lambda: daemon.lines("reload refused"))
+    wait_for("an invalid file is refused", lambda: daemon.lines("reload refused"))
     assert ask(daemon.callers, "/open/x", X_Key="").status == 200
 
 
-def test_metrics_are_told_as_text(site: UsersSite) -> None:
+def test_metrics_are_exposed_in_the_prometheus_format(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("calls are served", lambda: served(daemon, "/once/x"))
+    wait_for("calls are served", lambda: succeeds(daemon, "/once/x"))
     text = ask(daemon.metrics, "/metrics").body.decode()
     assert "bayglade_requests_total " in text
     assert 'bayglade_request_seconds_bucket{le="+Inf"} ' in text
@@ -246,9 +246,9 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
 
 
-def test_commands_check_settings_and_show_what_a_daemon_takes_for_true(site: UsersSite) -> None:
+def test_commands_validate_settings_and_show_a_daemons_view(site: UsersSite) -> None:
     daemon = site.start()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     shown = bayglade("beliefs", daemon.metrics)
     assert shown.returncode == 0
     assert "d0 ready" in shown.stdout
@@ -262,12 +262,12 @@
     assert bayglade("beliefs", "127.0.0.1:1").returncode == 1
 
 
-def test_daemons_tell_each_other_of_their_load(site: UsersSite) -> None:
+def test_daemons_list_the_members_that_they_hear(site: UsersSite) -> None:
     first, second = site.start(), site.start()
-    wait_for("they hear each other", lambda: all(len(members(d)) == 1 for d in (first, second)))
+    wait_for("the daemons hear each other", lambda: all(len(members(d)) == 1 for d in (first, second)))
     assert members(first) == ["d1"]
     first.stop()
-    wait_for("its silence is noticed", lambda: members(second) == [])
+    wait_for("the stopped daemon is no longer listed", lambda: members(second) == [])
 
 
 def members(daemon: Daemon) -> list[str]:
@@ -275,19 +275,19 @@
     return found
 
 
-def test_no_place_is_lost_whatever_ends_a_request(site: UsersSite) -> None:
+def test_all_capacity_is_released_however_a_request_ends(site: UsersSite) -> None:
     daemon = site.start()
     site.wait_placed()
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     heads = [replica for replica in site.of(MODEL) if replica.held[0] == 0]
     for fault in ("refuse", "partial", "reset", "error"):
         for head in heads:
             head.faults.left[fault] = 1
         ask(daemon.callers, "/stream/x")
-    # Which first stages a request tries is up to chance, so some faults are left over.
+    # The first stages that a request tries are chosen at random, so some faults may be left.
     for head in heads:
         head.faults.clear()
-    # A caller that leaves while its stream runs.
+    # A caller disconnects while its stream runs.
     with socket.create_connection(parse(daemon.callers)) as caller:
         caller.sendall(request_bytes("/stream/x", "one-that-leaves"))
         caller.recv(64)
@@ -300,13 +300,13 @@
     assert answers[0].whole
     assert daemon.lines("rerouted")[-1]["moved"]
 
-    def free() -> bool:
-        return all(server["in_flight"] == 0 and server["cached"] == 0 for server in believed(daemon))
+    def all_released() -> bool:
+        return all(server["in_flight"] == 0 and server["cached"] == 0 for server in server_beliefs(daemon))
 
-    wait_for("all places are given back", free)
+    wait_for("all capacity is released", all_released)
 
 
-def believed(daemon: Daemon) -> list[dict[str, Any]]:
+def server_beliefs(daemon: Daemon) -> list[dict[str, Any]]:
     found: list[dict[str, Any]] = daemon.beliefs()["servers"]
     return found
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of test processes: one that was handed out is not handed out to another run while it is free."""
+"""Port allocation for tests: no two processes get the same port, even while nobody listens on it."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 from standins.users import UsersSite
 from standins.world import PORTS_A_RANGE, free_port
 
-TAKE_AGAIN = """
+ALLOCATE_SAME_RANGE = """
 import sys
 from itertools import cycle
 from standins import world
@@ -17,22 +17,23 @@
 """
 
 
-def test_another_process_does_not_get_a_port_that_was_handed_out() -> None:
-    """A daemon of a soak that came back found its port taken: two runs had the same range, and nobody
-    listened there between the two processes ("Address already in use", 1 of 32 runs, five at a time)."""
+def test_another_process_does_not_get_an_allocated_port() -> None:
+    """Guards against a restarted daemon of a soak run finding its port taken ("Address already in use", 1
+    of 32 runs, five at a time): two runs had the same range, and nobody listened on the port during the
+    restart."""
     port = free_port()
     found = subprocess.run(
-        [sys.executable, "-c", TAKE_AGAIN, str(port)], capture_output=True, text=True, check=True
+        [sys.executable, "-c", ALLOCATE_SAME_RANGE, str(port)], capture_output=True, text=True, check=True
     )
     assert int(found.stdout) != port
 
 
-def test_ports_do_not_run_out_within_a_range() -> None:
+def test_a_range_holds_enough_ports() -> None:
     assert len({free_port() for _ in range(20)}) == 20
     assert PORTS_A_RANGE > 20
 
 
-TAKE_ALL = """
+EXHAUST_RANGE = """
 from itertools import cycle
 from standins import world
 world.PORTS_A_RANGE = 3
@@ -43,12 +44,15 @@
 
 
 def test_a_range_without_a_free_port_is_an_error() -> None:
-    """A soak of many seeds hung: it looked for a free port for ever (2 of 2 runs, in the 24th seed)."""
-    found = subprocess.run([sys.executable, "-c", TAKE_ALL], capture_output=True, text=True, timeout=30)
+    """Guards against searching for a free port forever: a soak run of many seeds hung (2 of 2 runs, in the
+    24th seed)."""
+    found = subprocess.run(
+        [sys.executable, "-c", EXHAUST_RANGE], capture_output=True, text=True, timeout=30
+    )
     assert "RuntimeError: no free port" in found.stderr
 
 
-def test_a_site_that_stops_gives_its_ports_back() -> None:
+def test_a_stopped_site_releases_its_ports() -> None:
     before = len(world._reserved)
     with UsersSite(halls=1, stages=2, plain=1):
         assert len(world._reserved) > before
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -1,4 +1,4 @@
-"""The shapes that callers and operators' programs rely on, held by snapshots."""
+"""Snapshots of the formats that callers and operators' programs rely on."""
 
 import msgspec
 import pytest
