--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -98,7 +98,7 @@
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
         self.operators = Operators(config.member, self.router, self.revisions, self.membership, self.ready)
-        self.previous: Current = self.revisions.current
+        self.previous_settings: Current = self.revisions.current
         self.shutdown_requested = Event()
         self.reported_leaving: set[BackendId] = set()
         self.listed_leaving: set[BackendId] = set()
@@ -141,7 +141,7 @@
             event("INFO", "request failed", path=environ["PATH_INFO"], error=repr(error))
         except Exception as error:  # noqa: BLE001 - callers must not see a traceback
             event("ERROR", "unexpected error in a request", path=environ["PATH_INFO"], error=repr(error))
-            response = error_response(BaygladeError("an error inside the daemon", step="respond"))
+            response = error_response(BaygladeError("internal error of the daemon", step="respond"))
         self.metrics.count("requests")
         self.metrics.send_timing("request.first_byte", now() - started)
         # The unread rest of a body would be parsed as the next request.
@@ -201,14 +201,14 @@
             eventlet.sleep(DRAIN_POLL_INTERVAL)
 
     def _settings_changed(self, current: Current) -> None:
-        before, self.previous = self.previous, current
+        previous, self.previous_settings = self.previous_settings, current
         self.router.sync(current.tree)
         directory = Directory(current.tree)
         self.callers.directory = directory
         self.operators.directory = directory
         self.engines.forget({backend.address for backend in current.tree.backends.values()})
         self._update_leaving()
-        self.membership.changed(before, current)
+        self.membership.changed(previous, current)
         self.metrics.gauge("settings.revision", current.revision)
 
     def _poll_hosts(self) -> None:
@@ -221,8 +221,8 @@
         """Poll the head of the settings; less often while other daemons would announce a new one."""
         while True:
             self._log_platform_errors("settings", self.revisions.poll)
-            heard = self.membership.live() and self.revisions.current.revision
-            self._sleep_until_next_poll(LIVE_PEERS_POLL_FACTOR if heard else 1.0)
+            has_live_peers = self.membership.live() and self.revisions.current.revision
+            self._sleep_until_next_poll(LIVE_PEERS_POLL_FACTOR if has_live_peers else 1.0)
 
     def _sleep_until_next_poll(self, factor: float) -> None:
         """Sleep until the next poll; the interval grows with the number of daemons on the platform."""
@@ -230,9 +230,9 @@
         interval = max(self.config.poll_interval * factor, min_interval)
         eventlet.sleep(interval * self.rng.uniform(0.8, 1.2))
 
-    def _log_platform_errors(self, what: str, ask: Callable[[], None]) -> None:
+    def _log_platform_errors(self, what: str, operation: Callable[[], None]) -> None:
         try:
-            ask()
+            operation()
         except BaygladeError as error:
             self.metrics.count(f"platform.{what}_failed")
             event("WARNING", "platform request failed", what=what, error=repr(error))
@@ -274,10 +274,10 @@
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
         self.router.leaving = elsewhere
         for state in self.router.backends.states.values():
-            said = state.reported is not None and state.reported.leaving
-            if said:
+            reports_leaving = state.reported is not None and state.reported.leaving
+            if reports_leaving:
                 self.reported_leaving.add(state.id)
-            state.leaving = said or state.id in elsewhere
+            state.leaving = reports_leaving or state.id in elsewhere
 
     def _probe_loads(self) -> None:
         """Ask the servers for their load in turn, at a bounded rate; never returns."""
--- a/bayglade/http1.py
+++ b/bayglade/http1.py
@@ -135,7 +135,7 @@
         except httptools.HttpParserError as error:
             raise InvalidMessage(str(error), step="read") from error
         if self.head_bytes > self.max_head_bytes and not (self.current and self.current.head_complete):
-            raise HeadTooLarge("the head is too large", step="read")
+            raise HeadTooLarge("the head exceeds the size limit", step="read")
 
     def on_message_begin(self) -> None:
         """Start a new message (httptools callback)."""
@@ -176,20 +176,20 @@
             elif lower == "transfer-encoding":
                 message.chunked = True
         if self.max_body_bytes is not None and (message.length or 0) > self.max_body_bytes:
-            raise RequestTooLarge("the body is larger than the limit", step="read", peer="caller")
+            raise RequestTooLarge("the body exceeds the size limit", step="read", peer="caller")
 
     def on_body(self, data: bytes) -> None:
         """Append a piece of the body (httptools callback)."""
         assert self.current is not None
         self.body_bytes += len(data)
         if self.max_body_bytes is not None and self.body_bytes > self.max_body_bytes:
-            raise RequestTooLarge("the body is larger than the limit", step="read", peer="caller")
+            raise RequestTooLarge("the body exceeds the size limit", step="read", peer="caller")
         self.current.pieces.append(data)
 
     def _count_field_bytes(self, size: int) -> None:
         self.field_bytes += size
         if self.field_bytes > self.max_head_bytes:
-            raise HeadTooLarge("the head is too large", step="read", peer="caller")
+            raise HeadTooLarge("the head exceeds the size limit", step="read", peer="caller")
 
     def on_message_complete(self) -> None:
         """Finish the message (httptools callback)."""
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -32,7 +32,7 @@
 from bayglade.usage import USAGE_TAU, Usage
 
 FAILED_SERVER_AVOID_SECONDS = 2.0
-SERVICE_COST = 1.0
+SERVICE_CALL_COST = 1.0
 CAPACITY_MARGIN = 1.05
 """The capacity of the pool is estimated as what is served at present, plus this margin."""
 
@@ -123,7 +123,7 @@
         :return: the complete answer of the service.
         :raises BaygladeError: if no server returned one.
         """
-        with self._admitted(request, SERVICE_COST, claim):
+        with self._admitted(request, SERVICE_CALL_COST, claim):
             answer = self._call_with_retries(request, self.tree.services[request.service])
         if claim is not None:
             self.claims.keep(claim, answer)
