--- a/bayglade/events.py
+++ b/bayglade/sse.py
@@ -1,4 +1,4 @@
-"""Events of a ``text/event-stream`` body: opaque bytes with an increasing integer id."""
+"""Server-sent events (``text/event-stream``): splitting a body into opaque events with integer ids."""
 
 import re
 
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -11,7 +11,6 @@
 
 from bayglade.calls import AnswerHead, Call, demand_of
 from bayglade.clock import now
-from bayglade.events import EventSplitter, event_id
 from bayglade.exceptions import (
     BackendError,
     BackendRefused,
@@ -32,6 +31,7 @@
 from bayglade.runs import Run, blame, leave_planned, look_into
 from bayglade.sending import answer_head, send
 from bayglade.servers import Server
+from bayglade.sse import EventSplitter, event_id
 from bayglade.trials import ended_stages, heads_to_avoid
 from bayglade.upstream import Exchange
 
