--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers as the tests play them: streams read in threads, whole answers, calls."""
+"""Client helpers for tests of the entry daemon: streams read in threads, completions and plain calls."""
 
 import threading
 from dataclasses import dataclass, field
@@ -15,48 +15,51 @@
 
 @dataclass
 class Stream:
-    """One streamed completion and all that came of it."""
+    """A streamed completion and what was received of it."""
 
     prompt: str
     max_tokens: int
     status: int = 0
     tokens: list[str] = field(default_factory=list)
     error: dict[str, Any] | None = None
-    whole: bool = False
-    cut: bool = False
+    complete: bool = False
+    connection_lost: bool = False
     thread: threading.Thread | None = None
     response: urllib3.BaseHTTPResponse | None = None
 
-    def right(self, version: str = "v1") -> bool:
-        """Tell whether the tokens so far are the first ones of its own answer."""
+    def is_correct(self, version: str = "v1") -> bool:
+        """Return whether the received tokens are the first ones of the expected answer."""
         expected = [token_text("guide", version, self.prompt, index) for index in range(len(self.tokens))]
         return self.tokens == expected
 
-    def honest(self) -> bool:
-        """Tell whether it ended whole and right, or right so far with an explicit error."""
-        if not self.right():
+    def is_correct_or_failed(self) -> bool:
+        """Return whether the stream is complete and correct, or correct up to an explicit error."""
+        if not self.is_correct():
             return False
-        if self.whole:
+        if self.complete:
             return len(self.tokens) == self.max_tokens and self.error is None
         return self.error is not None
 
     def wait(self) -> "Stream":
-        """Wait until it has ended."""
+        """Wait until the stream has ended."""
         assert self.thread is not None
         self.thread.join(60)
         assert not self.thread.is_alive(), "the stream did not end"
         return self
 
     def wait_tokens(self, count: int) -> "Stream":
-        """Wait until so many tokens have come."""
-        wait_for(f"{count} tokens came", lambda: len(self.tokens) >= count or self.error or self.cut)
+        """Wait until a number of tokens was received."""
+        wait_for(
+            f"{count} tokens received",
+            lambda: len(self.tokens) >= count or self.error or self.connection_lost,
+        )
         return self
 
 
 def stream(
     address: str, max_tokens: int, prompt: str = "p", key: str = CALLER_KEY, **headers: str
 ) -> Stream:
-    """Start a streamed completion in a thread of its own."""
+    """Start a streamed completion in a thread."""
     made = Stream(prompt, max_tokens)
     made.thread = threading.Thread(target=_read, args=(made, address, key, headers), daemon=True)
     made.thread.start()
@@ -66,7 +69,7 @@
 def complete(
     address: str, max_tokens: int = 4, prompt: str = "p", key: str = CALLER_KEY, **headers: str
 ) -> tuple[int, Any]:
-    """Ask for a whole completion; status and body."""
+    """Request a completion without streaming; return status and decoded body."""
     body = {"model": "guide", "prompt": prompt, "max_tokens": max_tokens}
     return call(address, "/v1/completions", body, key, **headers)
 
@@ -74,7 +77,7 @@
 def call(
     address: str, path: str, body: Any, key: str = CALLER_KEY, method: str = "POST", **headers: str
 ) -> tuple[int, Any]:
-    """Send one request; status and decoded body."""
+    """Send a request; return status and decoded body."""
     response = HTTP.request(
         method,
         f"http://{address}{path}",
@@ -107,29 +110,29 @@
         for chunk in response.read_chunked():
             *events, rest = (rest + chunk).split(b"\n\n")
             for event in events:
-                _take(made, event)
+                _add_event(made, event)
     except (urllib3.exceptions.HTTPError, OSError, AttributeError):
-        made.cut = True
+        made.connection_lost = True
 
 
-def _take(made: Stream, event: bytes) -> None:
+def _add_event(made: Stream, event: bytes) -> None:
     if event.startswith(b"event: error\ndata: "):
         made.error = msgspec.json.decode(event.partition(b"data: ")[2])["error"]
         return
     data = event.removeprefix(b"data: ")
     if data == b"[DONE]":
-        made.whole = True
+        made.complete = True
         return
     choice = msgspec.json.decode(data)["choices"][0]
     if "text" in choice:
         made.tokens.append(choice["text"])
 
 
-def check_record(record: list[list[Any]], layers: int) -> None:
-    """Check the engines' own record: each layer once for each token, in order.
+def assert_each_layer_ran_once(record: list[list[Any]], layers: int) -> None:
+    """Assert by the engines' records that each layer ran once per token and in order.
 
-    For each token one attempt ran all layers in order, none of them twice. An
-    attempt that failed may have run some layers of the token it failed at.
+    For each token, exactly one attempt ran all layers in order and none of them twice. A failed attempt may
+    have run some of the layers for the token at which it failed.
     """
     runs: dict[tuple[str, int, int], list[tuple[float, int, int]]] = {}
     for request, attempt, index, first, last, ended in record:
