--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms: each can be switched off by the settings, and then does nothing."""
+"""Routing mechanisms can be switched off by the settings and then have no effect."""
 
 from pathlib import Path
 
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize("mechanism", list(Mechanism))
-def test_settings_switch_a_mechanism_off(mechanism: Mechanism, tmp_path: Path) -> None:
+def test_settings_switch_off_a_mechanism(mechanism: Mechanism, tmp_path: Path) -> None:
     config = load_gateway_config(settings(tmp_path, f"without: [{mechanism.value}]"))
     assert config.without == {mechanism}
 
 
-def test_all_are_on_by_default_and_unknown_ones_are_refused(tmp_path: Path) -> None:
+def test_mechanisms_are_on_by_default_and_unknown_names_are_rejected(tmp_path: Path) -> None:
     assert load_gateway_config(settings(tmp_path, "")).without == frozenset()
     with pytest.raises(InvalidSettings):
         load_gateway_config(settings(tmp_path, "without: [magic]"))
@@ -55,8 +55,8 @@
     assert site.choose(without=lost) is None
 
 
-def test_without_comparison_the_own_hall_is_used_to_the_end() -> None:
-    def served_here(without: frozenset[Mechanism]) -> int:
+def test_without_spill_the_local_hall_is_filled_first() -> None:
+    def count_served_locally(without: frozenset[Mechanism]) -> int:
         site = Site("b")
         site.paths.without = without
         count = 0
@@ -64,7 +64,7 @@
             count += 1
         return count
 
-    assert served_here(frozenset({Mechanism.SPILL})) > served_here(frozenset())
+    assert count_served_locally(frozenset({Mechanism.SPILL})) > count_served_locally(frozenset())
 
 
 def test_without_crowding_a_fuller_server_costs_no_more() -> None:
@@ -76,7 +76,7 @@
     assert site.serve(Demand(USUAL.prompt, USUAL.answer)).cost > without
 
 
-def test_without_pairs_a_hall_has_more_room() -> None:
+def test_without_pairs_fewer_layers_are_held() -> None:
     model = pipeline()
     fleet = servers(a={"big": 3, "middle": 3, "small": 5})
     spread = tile_group(fleet, model, pairs=False)
@@ -84,7 +84,7 @@
     assert sum(s.length for s in spread.values()) < sum(s.length for s in paired.values())
 
 
-def test_figures_are_found_in_what_a_play_prints() -> None:
+def test_the_ablation_bench_parses_the_scores() -> None:
     text = (
         "day                  own/srv  score  worth served refused failed  weakest part\n"
         "trouble-2               6/41   1.00  0.439  0.686   0.009  0.035  worst windows 0.30\n"
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""All scenarios, one file for each thing that must always hold."""
+"""Runs all scenarios; each feature file covers one guarantee of the system."""
 
 from pytest_bdd import scenarios
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as the demo walks it, through processes of their own."""
+"""The demo, run end to end with separate processes."""
 
 from standins import demo
 
