--- a/bayglade/config.py
+++ b/bayglade/config.py
@@ -143,7 +143,7 @@
     return config
 
 
-def _load(path: Path, kind: type[ConfigT]) -> ConfigT:
+def _load(path: Path, config_type: type[ConfigT]) -> ConfigT:
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
@@ -154,8 +154,8 @@
         if text.startswith("{"):
             # JSON is a subset of YAML, and importing the YAML parser takes 14 ms, a tenth of a daemon's
             # import time. When all daemons restart at once, all callers wait for their imports.
-            return msgspec.json.decode(text, type=kind)
-        return msgspec.convert(_read_yaml(text), kind)
+            return msgspec.json.decode(text, type=config_type)
+        return msgspec.convert(_read_yaml(text), config_type)
     except (ValueError, msgspec.ValidationError) as error:
         raise InvalidSettings(f"{path}: {error}", step="config") from error
 
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -185,13 +185,13 @@
         event("INFO", "stopping", in_flight=len(self.router.active_requests))
         eventlet.sleep(self.config.balancer_delay)
         server.kill()
-        until = now() + self.config.drain_limit
-        while self.router.active_requests and now() < until:
+        drain_deadline = now() + self.config.drain_limit
+        while self.router.active_requests and now() < drain_deadline:
             eventlet.sleep(DRAIN_POLL_INTERVAL)
         if self.router.active_requests:
             event("WARNING", "drain timed out, aborting requests", cut=list(self.router.active_requests))
         # Finished answers may still be being sent, and their claims stored.
-        with eventlet.Timeout(max(0.1, until - now()), False):
+        with eventlet.Timeout(max(0.1, drain_deadline - now()), False):
             server.wait()
             self._wait_for_claims()
         event("INFO", "stopped")
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -300,8 +300,8 @@
         if not self.draining or now() - self.draining_since < DRAIN_ACCEPT_SECONDS:
             return
         if call.deadline > self._exit_time():
-            again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
-            raise Stopping("this daemon is shutting down", step="intake", retry_after=again)
+            retry_seconds = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+            raise Stopping("this daemon is shutting down", step="intake", retry_after=retry_seconds)
 
     def _exit_time(self) -> float:
         """Return when this daemon exits by itself, given that it is draining."""
@@ -419,9 +419,9 @@
     def _drain(self) -> None:
         """Fail readiness, wait until the balancer has noticed, then wait for requests in flight."""
         event("INFO", "stopping", active=len(self.active_requests))
-        until = self._exit_time()
-        eventlet.sleep(min(BALANCER_REMOVAL_SECONDS, until - now()))
-        while self.active_requests and now() < until:
+        exit_time = self._exit_time()
+        eventlet.sleep(min(BALANCER_REMOVAL_SECONDS, exit_time - now()))
+        while self.active_requests and now() < exit_time:
             eventlet.sleep(DRAIN_POLL_INTERVAL)
         event(
             "INFO", "stopped", cut=sorted(self.active_requests), after=round(now() - self.draining_since, 2)
--- a/bayglade/http1.py
+++ b/bayglade/http1.py
@@ -215,11 +215,11 @@
     :param headers: headers as received.
     :return: the headers to forward, in order.
     """
-    named = {
+    connection_specific = {
         part.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
         for part in value.split(",")
     }
-    dropped = PER_CONNECTION_HEADERS | named
+    dropped = PER_CONNECTION_HEADERS | connection_specific
     return [(name, value) for name, value in headers if name.lower() not in dropped]
--- a/bayglade/listener.py
+++ b/bayglade/listener.py
@@ -93,24 +93,24 @@
         :return: the request, or ``None`` if the caller closed the connection or the idle timeout passed.
         :raises InvalidMessage: if the bytes received aren't a valid request.
         """
-        until = now() + self.limits.idle_seconds
+        deadline = now() + self.limits.idle_seconds
         while True:
             message = self.parser.messages[0] if self.parser.messages else None
             if message is not None and message.complete:
                 return self.parser.messages.popleft()
-            if not self._receive(until, message):
+            if not self._receive(deadline, message):
                 return None
             if message is None and self._request_started():
                 # The timeout of a request starts with its first byte.
-                until = now() + self.limits.head_seconds
+                deadline = now() + self.limits.head_seconds
             self._send_continue()
 
     def _request_started(self) -> bool:
         return bool(self.parser.messages) or self.parser.head_bytes > 0
 
-    def _receive(self, until: float, message: Message | None) -> bool:
+    def _receive(self, deadline: float, message: Message | None) -> bool:
         try:
-            data = receive(self.sock, until)
+            data = receive(self.sock, deadline)
         except TimeoutError:
             if not self._request_started():
                 return False
@@ -211,6 +211,6 @@
     connection.sock.settimeout(LINGER_SECONDS)
     connection.send_error(error)
     connection.sock.shutdown(socket.SHUT_WR)
-    until = now() + LINGER_SECONDS
-    while receive(connection.sock, until):
+    deadline = now() + LINGER_SECONDS
+    while receive(connection.sock, deadline):
         pass
--- a/bayglade/metrics.py
+++ b/bayglade/metrics.py
@@ -34,11 +34,11 @@
 
     def render_lines(self, name: str) -> list[str]:
         """Render the cumulative buckets, the sum and the count in the Prometheus text format."""
-        lines, so_far = [], 0
+        lines, cumulative = [], 0
         for bound, count in zip((*map(str, BUCKET_BOUNDS), "+Inf"), self.counts, strict=True):
-            so_far += count
-            lines.append(f'{name}_bucket{{le="{bound}"}} {so_far}')
-        return [*lines, f"{name}_sum {self.total:.6f}", f"{name}_count {so_far}"]
+            cumulative += count
+            lines.append(f'{name}_bucket{{le="{bound}"}} {cumulative}')
+        return [*lines, f"{name}_sum {self.total:.6f}", f"{name}_count {cumulative}"]
 
 
 class Metrics:
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -80,7 +80,7 @@
         :param heard: number of daemons heard from, including this one.
         """
         at = now()
-        part = own_part(
+        fraction = own_part(
             self.usage.asked_here(at),
             self.usage.asked_everywhere(at),
             self.admission.share_of_group,
@@ -88,7 +88,7 @@
             heard,
             self.trust.member_count(),
         )
-        self.backends.divide(part)
+        self.backends.divide(fraction)
 
     def claim(self, request: Request, body_sha256: str) -> Claim | Kept | None:
         """Claim the idempotency key of a request that must not run twice.
@@ -149,31 +149,31 @@
     def _call_with_retries(self, request: ServiceRequest, service: Service) -> ServiceAnswer:
         budget = self.service_retry_budgets.setdefault(request.group, RetryBudget())
         budget.request()
-        last: BackendError | None = None
-        ran = False
+        last_error: BackendError | None = None
+        may_have_run = False
         for backend in self._candidate_servers(service):
-            if last is not None and not budget.retry():
+            if last_error is not None and not budget.retry():
                 break
             if request.seconds_left() <= 0:
-                raise self._deadline_error(last, ran)
+                raise self._deadline_error(last_error, may_have_run)
             try:
                 return self._call_server(request, service, backend)
             except BackendError as error:
-                last = error
-                ran = ran or error.outcome is not Outcome.NOT_RUN
+                last_error = error
+                may_have_run = may_have_run or error.outcome is not Outcome.NOT_RUN
                 self.avoid_until[backend] = now() + FAILED_SERVER_AVOID_SECONDS
                 event("WARNING", "call failed", request=request.id, error=repr(error))
                 if not request.repeatable and not isinstance(error, BackendUnreachable):
                     raise
-        if last is None:
+        if last_error is None:
             raise NoRoute(
                 f"no server of {request.service} is live",
                 step="route",
                 retry_after=spread_retry_after(2.0, self.rng),
             )
-        if ran:
-            last.outcome = Outcome.UNKNOWN
-        raise last
+        if may_have_run:
+            last_error.outcome = Outcome.UNKNOWN
+        raise last_error
 
     def _call_server(self, request: ServiceRequest, service: Service, backend: BackendId) -> ServiceAnswer:
         # A daemon whose process was suspended meanwhile must not act on outdated knowledge.
@@ -189,7 +189,7 @@
         self.rng.shuffle(servers)
         return sorted(servers, key=lambda backend: self.avoid_until.get(backend, 0.0) > at)
 
-    def _deadline_error(self, last: BackendError | None, ran: bool) -> BaygladeError:
-        outcome = Outcome.UNKNOWN if ran else Outcome.NOT_RUN
-        peer = last.peer if last is not None else ""
+    def _deadline_error(self, last_error: BackendError | None, may_have_run: bool) -> BaygladeError:
+        outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
+        peer = last_error.peer if last_error is not None else ""
         return DeadlinePassed("the deadline passed", step="call", peer=peer, outcome=outcome)
--- a/bayglade/sockets.py
+++ b/bayglade/sockets.py
@@ -21,7 +21,7 @@
     """Read available bytes, waiting for the first ones if necessary.
 
     :param sock: a green socket.
-    :param until: the deadline, in seconds of :func:`bayglade.clock.now`.
+    :param deadline: when to give up, in seconds of :func:`bayglade.clock.now`.
     :return: the bytes; empty if the peer closed the connection.
     :raises TimeoutError: if nothing arrived before the deadline.
     :raises OSError: if the connection was reset.
