--- a/bayglade/cli.py
+++ b/bayglade/cli.py
@@ -33,7 +33,7 @@
 
 
 def run_entry(arguments: list[str]) -> int:
-    """Run the entry daemon until it is told to stop.
+    """Run the entry daemon until a termination signal.
 
     :param arguments: the arguments after ``bayglade entry``.
     :return: the exit code.
@@ -43,7 +43,9 @@
     from bayglade.exceptions import BaygladeError
 
     parser = argparse.ArgumentParser(prog="bayglade entry", description="Run the entry daemon.")
-    parser.add_argument("-c", "--config", type=Path, required=True, help="its own settings, a YAML file")
+    parser.add_argument(
+        "-c", "--config", type=Path, required=True, help="settings file of the daemon (YAML)"
+    )
     try:
         create_daemon(load_config(parser.parse_args(arguments).config)).run()
     except (BaygladeError, OSError) as error:
@@ -53,7 +55,7 @@
 
 
 def run_gateway() -> int:
-    """Run the daemon on the users' platform until it is told to stop.
+    """Run the daemon on the users' platform until a termination signal.
 
     :return: the exit code.
     """
--- a/bayglade/config.py
+++ b/bayglade/config.py
@@ -46,9 +46,16 @@
     header_timeout: float = 10.0
     body_timeout: float = 30.0
     balancer_delay: float = 1.0
+    """Time that the balancer needs to stop sending callers, once the daemon reports not ready."""
+
     drain_limit: float = 60.0
+    """Maximum time for requests in flight to finish during a shutdown."""
+
     blind_limit: float = 10.0
+    """Time without news from the platform or other daemons after which no new requests are served."""
+
     poll_interval: float = 1.0
+    """Base interval of polling the platform."""
 
     def __repr__(self) -> str:
         return f"<Config {self.member} in {self.hall} at {self.callers}>"
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -42,12 +42,16 @@
 
 TICK_INTERVAL = 0.25
 PROBES_PER_SECOND = 2.0
+"""Rate at which this daemon asks backend servers for their load."""
 LATE_TICK_SECONDS = 0.5
+"""Delay of a tick above which the event loop is logged as late."""
 PLATFORM_POLLS_PER_SECOND = 200.0
 """Upper limit on polls of the platform by all daemons together, for the host list and for the settings
 each."""
 HOSTS_POLL_FACTOR = 2.0
+"""Poll interval of the host list, as a multiple of ``poll_interval``."""
 LIVE_PEERS_POLL_FACTOR = 5.0
+"""Poll interval of the settings while other daemons are heard, as a multiple of ``poll_interval``."""
 DRAIN_POLL_INTERVAL = 0.05
 PLACEMENT_INTERVAL = 1.0
 HEALTH_PATH = "/healthz"
--- a/bayglade/exceptions.py
+++ b/bayglade/exceptions.py
@@ -7,7 +7,11 @@
     """Whether a request was executed on a backend server, as far as is known."""
 
     NOT_RUN = "not_run"
+    """Certainly not executed, so it is safe to send it again."""
+
     UNKNOWN = "unknown"
+    """It may have been executed."""
+
     RAN = "ran"
 
 
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -32,7 +32,9 @@
 from bayglade.usage import USAGE_TAU, Usage
 
 FAILED_SERVER_AVOID_SECONDS = 2.0
+"""How long a server of a plain service is tried last after a failure."""
 SERVICE_CALL_COST = 1.0
+"""What a call to a plain service counts against the token limits of its group."""
 CAPACITY_MARGIN = 1.05
 """The capacity of the pool is estimated as what is served at present, plus this margin."""
 
