--- a/bayglade/clock.py
+++ b/bayglade/clock.py
@@ -6,8 +6,8 @@
 import eventlet
 
 MIN_SUSPENSION_SECONDS = 0.1
-"""Smallest clock offset, in seconds, reported as a suspension; the two clocks can't be read at the same
-instant, which alone shifts the offset by microseconds."""
+"""Smallest change of the clocks' offset, in seconds, that counts as a suspension. The clocks are read one
+after the other, which alone changes the offset by microseconds."""
 
 
 def now() -> float:
@@ -69,8 +69,8 @@
     def rate(self, at: float) -> float:
         """Return the rate per second that the sum stands for.
 
-        The sum of a younger object than a few time constants covers only part of its window; the rate is
-        corrected for that, or it would come out too low.
+        A sum created recently covers only part of its time constant; without the correction for that, the
+        rate would be too low.
         """
         seen = 1.0 - math.exp(-max(1e-3, at - self.created_at) / self.tau)
         return self.read(at) / (self.tau * seen)
--- a/bayglade/http1.py
+++ b/bayglade/http1.py
@@ -1,8 +1,8 @@
 """Incremental parser and writer for HTTP/1.1 messages.
 
-Parsing is left to httptools (llhttp in strict mode), which rejects conflicting lengths, messages with both
-framings, and malformed chunks. This module adds size limits, and splits what a connection receives
-into messages.
+Parsing is left to httptools (llhttp in strict mode), which rejects repeated Content-Length headers,
+messages with both Content-Length and Transfer-Encoding, and malformed chunks. This module adds size
+limits, and splits what a connection receives into messages.
 """
 
 from collections import deque
