--- a/bayglade/clock.py
+++ b/bayglade/clock.py
@@ -19,7 +19,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def use_clock_for_timers() -> None:
+def use_boottime_timers() -> None:
     """Make the event loop's timers use :func:`now`; call it before the first timer is created."""
     eventlet.hubs.get_hub().clock = now
 
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -10,7 +10,7 @@
 
 from bayglade import callers, logs
 from bayglade.claims import Claims
-from bayglade.clock import now, use_clock_for_timers
+from bayglade.clock import now, use_boottime_timers
 from bayglade.config import Config, parse_address
 from bayglade.directory import Directory
 from bayglade.engines import create_engines
@@ -117,7 +117,7 @@
         :raises OSError: if a listening address can't be bound.
         """
         logs.configure_logging(self.config.member, self.config.log_format, self.config.log_level)
-        use_clock_for_timers()
+        use_boottime_timers()
         callers_socket = _listen(self.config.callers)
         entries_socket = _listen(self.config.entries)
         self._install_signal_handlers()
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -13,7 +13,7 @@
 from bayglade import logs, platform
 from bayglade.beliefs import Beliefs, path_beliefs, server_beliefs, stop_beliefs, table_beliefs
 from bayglade.calls import Call
-from bayglade.clock import SuspensionDetector, now, use_clock_for_timers
+from bayglade.clock import SuspensionDetector, now, use_boottime_timers
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
 from bayglade.ends import watch_ends
@@ -185,7 +185,7 @@
         :raises OSError: if a listening address can't be bound.
         """
         logs.configure_logging(self.config.member, "json", self.config.log_level)
-        use_clock_for_timers()
+        use_boottime_timers()
         if self.min_staleness_bound < LEAST_BOUND_SECONDS:
             event(
                 "WARNING",
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,7 +12,7 @@
 import pytest
 
 from bayglade import clock
-from bayglade.clock import SuspensionDetector, now, use_clock_for_timers
+from bayglade.clock import SuspensionDetector, now, use_boottime_timers
 from bayglade.exceptions import CutOff
 from bayglade.feeds import Feed
 from bayglade.ids import MemberId
@@ -89,7 +89,7 @@
 
 def test_timers_that_fell_due_in_it_fire_after_it(suspend: Suspend) -> None:
     def fires() -> bool:
-        use_clock_for_timers()
+        use_boottime_timers()
         fired = eventlet.event.Event()
         eventlet.spawn_after(20.0, fired.send)
         suspend(20.0)
