--- a/bayglade/platform/calls.py
+++ b/bayglade/platform/calls.py
@@ -5,9 +5,9 @@
 
 from bayglade.calls import AnswerHead, Call, CallHead, Dialect, Sending
 from bayglade.exceptions import InvalidMessage
-from bayglade.heads import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end_headers
 from bayglade.ids import RequestId
-from bayglade.logs import event, limited
+from bayglade.logs import event, rate_limited
 from bayglade.models import Route
 
 REQUEST_ID = "X-Request-Id"
@@ -99,7 +99,7 @@
     :param sending: where it goes, and with how much time.
     :return: the headers, without those of framing.
     """
-    passed = [(n, v) for n, v in end_to_end(call.headers) if n.lower() not in OWN_HEADERS]
+    passed = [(n, v) for n, v in end_to_end_headers(call.headers) if n.lower() not in OWN_HEADERS]
     passed.append((DEADLINE, str(max(1, int(sending.seconds * 1000)))))
     passed.append((INSTANCE, sending.backend))
     if call.group is not None:
@@ -120,7 +120,7 @@
     return ",".join(f"{stage.address}={stage.first}-{stage.last}" for stage in route.stages)
 
 
-_log_nonsense = limited(NONSENSE_LINES_PER_SECOND)
+_log_nonsense = rate_limited(NONSENSE_LINES_PER_SECOND)
 
 
 def read_answer(message: Message) -> AnswerHead:
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -13,7 +13,7 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.heads import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end_headers
 from bayglade.listener import Connection
 from bayglade.logs import event
 from bayglade.places import Place
@@ -37,7 +37,7 @@
 
     def __init__(self, message: Message, content: bytes) -> None:
         self.status = message.status
-        self.headers: Headers = end_to_end(message.headers)
+        self.headers: Headers = end_to_end_headers(message.headers)
         self.content = content
 
     def __repr__(self) -> str:
@@ -80,7 +80,7 @@
         raise attempts.error(peers.rng)
     if answer.status < 500:
         peers.quarantine.answered(call)
-    connection.answer(answer.status, answer.headers, answer.content)
+    connection.send_response(answer.status, answer.headers, answer.content)
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.sent)
 
 
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -152,7 +152,7 @@
                     self.peers,
                     self.call(seconds),
                     self.model,
-                    SimpleNamespace(sent=False),  # type: ignore[arg-type]
+                    SimpleNamespace(response_started=False),  # type: ignore[arg-type]
                 )
             except BaygladeError as error:
                 self.error = error
--- a/tests/test_held_back_rows.py
+++ b/tests/test_held_back_rows.py
@@ -16,7 +16,7 @@
 from standins.users import EVENTS, MODEL, UsersSite
 from standins.users.configuration import EVENT_SECONDS, LAYERS
 from standins.world import wait_for
-from tests.test_gateway_faults import served, start_stream
+from tests.test_gateway_faults import start_stream, succeeds
 
 HELD_SECONDS = 1.0
 
@@ -70,7 +70,7 @@
     held_back = HeldBack(site, monkeypatch)
     daemon = site.start()
     wait_for("all layers are shown", held_back.whole)
-    wait_for("streams are served", lambda: served(daemon))
+    wait_for("streams are served", lambda: succeeds(daemon))
     wait_for("second holders are held back", lambda: held_back.rows)
     known = {request for replica in site.of(MODEL) for request in replica.paths}
     answers, thread = start_stream(daemon)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -352,7 +352,7 @@
         wait=lambda *_, **options: None,
     )
     with pytest.raises((NoRoute, Overloaded)):
-        streams.relay_stream(scene.peers, scene.call, scene.model, SimpleNamespace(sent=False))  # type: ignore[arg-type]
+        streams.relay_stream(scene.peers, scene.call, scene.model, SimpleNamespace(response_started=False))  # type: ignore[arg-type]
     assert looks <= MAX_UNREACHED + 1
     assert all(server.in_flight == 0 and server.cached == 0 for server in scene.fleet.of(SERVICE))
 
--- a/tests/test_taken_keys.py
+++ b/tests/test_taken_keys.py
@@ -72,7 +72,7 @@
     monkeypatch.setattr(wholes, "_note_failure", lambda *_: None)
     call = scene.call()
     call.endpoint = SimpleNamespace(max_attempts=2, repeatable=True)
-    connection: Any = SimpleNamespace(answer=lambda status, headers, body: told.append(status))
+    connection: Any = SimpleNamespace(send_response=lambda status, headers, body: told.append(status))
     try:
         wholes.relay_whole(scene.peers, call, connection)
     except BaygladeError as error:
