--- a/bayglade/calls.py
+++ b/bayglade/calls.py
@@ -70,7 +70,7 @@
     """
     head = call.head
     if not head.prompt_tokens:
-        return pipeline.usual()
+        return pipeline.typical_request()
     expected = head.answer_hint if head.answer_hint is not None else pipeline.typical_answer
     return Demand(float(head.prompt_tokens), float(min(head.answer_tokens, expected)))
 
--- a/bayglade/loading.py
+++ b/bayglade/loading.py
@@ -24,7 +24,7 @@
 from bayglade.pipelines import Pipeline
 from bayglade.repair import fill, missing, repair
 from bayglade.servers import ServerFacts
-from bayglade.tiling import Span, Spans, groups, tile_group
+from bayglade.tiling import Span, Spans, group_servers, tile_group
 
 LEASE_NAME = "placement"
 LEASE_SECONDS = 2.5
@@ -165,7 +165,7 @@
         excluded = {s.facts.id for s in servers if s.excluded is not None}
         expected = [self._as_ordered(s.facts, at) for s in servers]
         wanted: Spans = {}
-        for group in groups(expected, pipeline):
+        for group in group_servers(expected, pipeline):
             wanted.update(self._wanted_of(group, pipeline, at))
         held = {facts.id: Span(facts.first, facts.last) for facts in expected}
         return {
--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -124,7 +124,7 @@
         self.begin_ms = begin_ms
         self.factor = factor
         self.reading = reading
-        self.usual_cached = pipeline.usual().cached
+        self.usual_cached = pipeline.typical_request().cached
 
     def hop_ms(self, one: HallName | None, other: HallName) -> float:
         """Return the cost of handing a token on; nothing before the first stage."""
@@ -198,11 +198,11 @@
     """
     facts, pipeline = server.facts, search.pipeline
     accelerator = facts.accelerator or ""
-    size = pipeline.cache_size(accelerator, facts.held)
+    size = pipeline.cache_capacity(accelerator, facts.held)
     kind = pipeline.accelerators[accelerator]
     passing = taken / search.usual_cached
     shared = kind.step_factor * pipeline.request_ms * passing
-    shared += kind.read_factor * pipeline.reading_ms * passing
+    shared += kind.read_factor * pipeline.prefill_ms_per_step * passing
     each = kind.step_factor * pipeline.step_ms
     pace = server.pace / pipeline.layers
     cached = search.demand.cached
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -164,7 +164,7 @@
 
     def of_halls(self, service: ServiceName, pipeline: Pipeline) -> list[Path]:
         """List the path that a usual request would take in each hall now, cheapest first."""
-        search = Search(pipeline, pipeline.usual(), _taken(self.elsewhere()), limited=False)
+        search = Search(pipeline, pipeline.typical_request(), _taken(self.elsewhere()), limited=False)
         found = [find_path(servers, search) for servers in by_hall(self.fleet.usable(service)).values()]
         return sorted((path for path in found if path is not None), key=lambda path: path.cost)
 
@@ -226,7 +226,7 @@
             cold = Mechanism.WARM not in self.without and not self.warm(server.facts.id)
             ahead = max(0, server.unread - 1) * self.daemons()
             kind = server.facts.accelerator or ""
-            reading = pipeline.reading_time(kind, demand.prompt, server.facts.held) if ahead else 0.0
+            reading = pipeline.prefill_ms(kind, demand.prompt, server.facts.held) if ahead else 0.0
             return (COLD_BEGIN_MS if cold else 0.0) + ahead * reading / PAUSE_TOKENS
 
         return begin_ms
@@ -270,13 +270,15 @@
         for server, stage in zip(path.servers, path.route.stages, strict=True)
     }
     left = [server for server in path.servers if server.facts.id in without]
-    moving = max([1.0, *(search.taken(s) / (pipeline.usual().cached * max(1, s.facts.held)) for s in left)])
+    moving = max(
+        [1.0, *(search.taken(s) / (pipeline.typical_request().cached * max(1, s.facts.held)) for s in left)]
+    )
 
     def reading(server: Server, first: int, last: int) -> float:
         if kept.get(server.facts.id) == (first, last):
             return 0.0
         kind = server.facts.accelerator or ""
-        return moving * pipeline.reading_time(kind, path.demand.cached, last - first) / PAUSE_TOKENS
+        return moving * pipeline.prefill_ms(kind, path.demand.cached, last - first) / PAUSE_TOKENS
 
     return reading
 
@@ -298,7 +300,9 @@
 
 def _unlimited(pipeline: Pipeline) -> Search:
     """Return a search that looks at nothing but which layers are held."""
-    return Search(pipeline, pipeline.usual(), lambda _: 0.0, lambda one, other: 0.0, limited=False)
+    return Search(
+        pipeline, pipeline.typical_request(), lambda _: 0.0, lambda one, other: 0.0, limited=False
+    )
 
 
 def _may_begin(server: Server, load: ServerLoad, heads: frozenset[BackendId] | None) -> bool:
--- a/bayglade/pipelines.py
+++ b/bayglade/pipelines.py
@@ -4,7 +4,7 @@
 
 from bayglade.ids import HallName, ModelName
 
-LEAST_REQUEST = 100.0
+DEFAULT_REQUEST_TOKENS = 100.0
 """Tokens that a request takes at least, where the operator does not say what is usual."""
 
 
@@ -72,18 +72,18 @@
         """Return the time of one way between two halls."""
         return self.delays.get(frozenset((one, other)), 0.0)
 
-    def usual(self) -> Demand:
+    def typical_request(self) -> Demand:
         """Return a request of the usual size."""
         if not self.typical_prompt and not self.typical_answer:
-            return Demand(LEAST_REQUEST, 0.0)
+            return Demand(DEFAULT_REQUEST_TOKENS, 0.0)
         return Demand(float(self.typical_prompt), float(self.typical_answer))
 
     @property
-    def reading_ms(self) -> float:
+    def prefill_ms_per_step(self) -> float:
         """Return the time that a usual request's prompt adds to each token step, spread over its answer."""
         return self.read_ms * self.typical_prompt / max(1, self.typical_answer)
 
-    def reading_time(self, accelerator: str, tokens: float, layers: int) -> float:
+    def prefill_ms(self, accelerator: str, tokens: float, layers: int) -> float:
         """Return the milliseconds in which a server reads tokens through some of its layers.
 
         :param accelerator: its kind.
@@ -93,19 +93,19 @@
         factor = self.accelerators[accelerator].read_factor
         return self.read_ms * factor * tokens * layers / self.layers
 
-    def cache_size(self, accelerator: str, held: int) -> float:
+    def cache_capacity(self, accelerator: str, held: int) -> float:
         """Return how much fits into the KV cache of a server.
 
         :param accelerator: the kind.
         :param held: how many layers lie there.
         :return: tokens times layers.
         """
-        return self.room(accelerator, held, 1)
+        return self.token_room(accelerator, held, 1)
 
     @property
-    def usual_tokens(self) -> float:
+    def typical_tokens(self) -> float:
         """Return the tokens of a usual request at its end, prompt and answer."""
-        return max(LEAST_REQUEST, float(self.typical_prompt + self.typical_answer))
+        return max(DEFAULT_REQUEST_TOKENS, float(self.typical_prompt + self.typical_answer))
 
     def free_mb(self, accelerator: str, held: int) -> float:
         """Return the memory that is left for the KV cache.
@@ -116,7 +116,7 @@
         """
         return self.accelerators[accelerator].memory_mb - held * self.layer_mb
 
-    def room(self, accelerator: str, held: int, run: int) -> float:
+    def token_room(self, accelerator: str, held: int, run: int) -> float:
         """Return how many tokens fit at once.
 
         :param accelerator: the kind.
@@ -126,7 +126,7 @@
         """
         return self.free_mb(accelerator, held) / (self.token_mb / self.layers * max(run, 1))
 
-    def most_layers(self, accelerator: str, tokens: float) -> int:
+    def max_layers(self, accelerator: str, tokens: float) -> int:
         """Return how many layers fit beside a number of tokens in flight.
 
         :param accelerator: the kind.
--- a/bayglade/repair.py
+++ b/bayglade/repair.py
@@ -8,7 +8,7 @@
 
 from bayglade.pipelines import Pipeline
 from bayglade.servers import ServerFacts
-from bayglade.tiling import Span, Spans, count_holders, most_layers
+from bayglade.tiling import Span, Spans, count_holders, max_layers
 
 SPARE_ROOM = 0.72
 """Part of the operator's wanted room for tokens that a server which fills a hole keeps."""
@@ -35,9 +35,9 @@
     spread = sorted(counts)[len(counts) // 2] > 1
     usual = _usual_lengths(servers) if spread else {}
     spans: Spans = {}
-    for server in sorted(empty, key=lambda s: (-most_layers(s, pipeline, SPARE_ROOM), s.id)):
+    for server in sorted(empty, key=lambda s: (-max_layers(s, pipeline, SPARE_ROOM), s.id)):
         length = min(
-            most_layers(server, pipeline, SPARE_ROOM), usual.get(server.accelerator, pipeline.layers)
+            max_layers(server, pipeline, SPARE_ROOM), usual.get(server.accelerator, pipeline.layers)
         )
         if length == 0:
             continue
@@ -77,7 +77,7 @@
         server = _spare_for(hole, servers, held, changed, counts, pipeline)
         if server is None:
             break
-        changed[server.id] = _over(hole, counts, most_layers(server, pipeline, SPARE_ROOM))
+        changed[server.id] = _over(hole, counts, max_layers(server, pipeline, SPARE_ROOM))
         count_holders(counts, held[server.id], -1)
         count_holders(counts, changed[server.id])
     _stretch(servers, held, changed, counts, pipeline)
@@ -122,14 +122,14 @@
         server
         for server in servers
         if server.id not in changed
-        and most_layers(server, pipeline, SPARE_ROOM)
+        and max_layers(server, pipeline, SPARE_ROOM)
         and min(counts[held[server.id].first : held[server.id].last], default=0) > 1
     ]
     if not spare:
         return None
 
     def fit(server: ServerFacts) -> tuple[bool, int, str]:
-        most = most_layers(server, pipeline, SPARE_ROOM)
+        most = max_layers(server, pipeline, SPARE_ROOM)
         return most < hole.length, most if most >= hole.length else -most, server.id
 
     return min(spare, key=fit)
@@ -156,7 +156,7 @@
         if 0 not in counts:
             return
         span = changed.get(server.id, held[server.id])
-        free = most_layers(server, pipeline, STRETCHED_ROOM) - span.length
+        free = max_layers(server, pipeline, STRETCHED_ROOM) - span.length
         if free <= 0:
             continue
         after = _zeros(counts, range(span.last, len(counts)), free)
--- a/bayglade/tiling.py
+++ b/bayglade/tiling.py
@@ -1,10 +1,10 @@
-"""Tiling: which layers each backend server should hold.
+"""Computes which layers of a model each backend server should hold.
 
-In each data hall the servers form chains that hold all layers, so that no
-token crosses to another hall. Where memory allows, two servers of a kind hold
-the same layers: each usually runs half of them, and all of them when the other
-is gone. Losses are made good in :mod:`bayglade.repair`. Plain functions; see
-``docs/design/placement.md``.
+Within each data hall, the servers form chains that hold all layers, so that no
+token has to cross to another hall. Where memory allows, two servers of the same
+kind hold the same layers: each usually runs half of the requests for them, and
+all of them when the other one is lost. :mod:`bayglade.repair` replaces lost
+layers. The functions have no side effects; see ``docs/design/placement.md``.
 """
 
 from collections.abc import Iterator, Sequence
@@ -15,124 +15,130 @@
 from bayglade.pipelines import Pipeline
 from bayglade.servers import ServerFacts
 
-PAIR_LEFT = 0.5
-"""Part of the requests of a pair that each of the two runs, and that fits when the other is gone."""
-KEPT_ROOM = 0.57
-"""Part of the room of a layout without pairs that one with pairs keeps. A loss stops all streams of
-a hall on a server that is alone, and half of them on one of a pair; with less room a hall turns
-requests away."""
-TIGHTER = 0.75
-LEAST_ROOM = 0.1
-"""Where the model does not fit otherwise, the room for tokens shrinks in these steps, to this part."""
-ROOM_STEP = 0.95
-QUICK_ROOM = 1.5
-"""Room for tokens of the chain of the quickest servers, as a part of the wanted one, if that leaves
-another chain: most requests of a hall go there. With less room bursts fill it and
-answers begin late; with more it has slower servers than need be."""
-SAME_SPEED = 1.3
-"""Kinds whose step times differ by less than this share layers evenly."""
+PAIR_CAPACITY_SHARE = 0.5
+"""Share of a pair's requests that each of its servers runs. Only this share is sure to fit when the
+other server is lost."""
+MIN_PAIRED_CAPACITY = 0.57
+"""Minimum token capacity of a layout with pairs, as a fraction of that of the same chain without pairs.
+Losing an unpaired server stops all streams of a hall, and losing one of a pair half of them; with less
+capacity than this, a hall rejects requests."""
+CAPACITY_SHRINK_FACTOR = 0.75
+MIN_CAPACITY = 0.1
+"""Where the model does not fit otherwise, the token capacity is reduced by ``CAPACITY_SHRINK_FACTOR`` at a
+time, down to this fraction of the configured capacity."""
+CAPACITY_STEP = 0.95
+FAST_CHAIN_CAPACITY = 1.5
+"""Token capacity of the chain of the fastest servers, as a multiple of the configured capacity, provided
+that a second chain can be formed. Most requests of a hall go to this chain: with less capacity, bursts
+fill it and answers begin late; with more, it includes slower servers than necessary."""
+SAME_SPEED_RATIO = 1.3
+"""Accelerator kinds whose step times differ by less than this factor share layers evenly."""
 
 
 class Span(msgspec.Struct, frozen=True):
-    """Layers ``[first, last)``."""
+    """The layers ``[first, last)``."""
 
     first: int
     last: int
 
     @property
     def length(self) -> int:
-        """Return how many layers these are."""
+        """Return the number of layers."""
         return self.last - self.first
 
 
 Spans = dict[BackendId, Span]
 
 
-def tile(servers: Sequence[ServerFacts], pipeline: Pipeline) -> Spans:
-    """Lay out a whole fleet anew.
+def tile_fleet(servers: Sequence[ServerFacts], pipeline: Pipeline) -> Spans:
+    """Compute a layout for a whole fleet from scratch.
 
     :param servers: servers that may hold layers.
-    :param pipeline: facts of the model.
-    :return: the span of each server; empty for servers that no chain can use.
+    :param pipeline: properties of the model.
+    :return: the span of each server; servers that no chain can use are left out.
     """
     spans: Spans = {}
-    for group in groups(servers, pipeline):
+    for group in group_servers(servers, pipeline):
         spans.update(tile_group(group, pipeline))
     return spans
 
 
-def groups(servers: Sequence[ServerFacts], pipeline: Pipeline) -> list[list[ServerFacts]]:
-    """Divide a fleet into halls that hold the model alone, and one group of all others.
+def group_servers(servers: Sequence[ServerFacts], pipeline: Pipeline) -> list[list[ServerFacts]]:
+    """Divide a fleet into one group per hall that can hold the model alone, and one group of the rest.
 
     :param servers: servers that may hold layers.
-    :param pipeline: facts of the model.
-    :return: groups of servers that together hold the model.
+    :param pipeline: properties of the model.
+    :return: groups of servers that are to hold the model together.
     """
     halls: dict[HallName, list[ServerFacts]] = {}
     for server in servers:
         if server.accelerator in pipeline.accelerators:
             halls.setdefault(server.hall, []).append(server)
-    able = [hall for hall in halls.values() if _room_for(hall, pipeline) is not None]
+    able = [hall for hall in halls.values() if _feasible_capacity(hall, pipeline) is not None]
     rest = [server for hall in halls.values() if hall not in able for server in hall]
     return [*able, rest] if rest else able
 
 
-def tile_group(servers: Sequence[ServerFacts], pipeline: Pipeline, pairs: bool = True) -> Spans:
-    """Lay out one group of servers as chains.
+def tile_group(servers: Sequence[ServerFacts], pipeline: Pipeline, pair_servers: bool = True) -> Spans:
+    """Compute a layout for one group of servers.
 
     :param servers: the group.
-    :param pipeline: facts of the model.
-    :param pairs: whether servers of a chain that is alone are paired.
-    :return: the span of each server; empty when they cannot hold the model.
+    :param pipeline: properties of the model.
+    :param pair_servers: whether to pair servers if the group forms only one chain.
+    :return: the span of each server; empty if the servers cannot hold the model.
     """
-    room = _room_for(servers, pipeline)
-    if room is None:
+    capacity = _feasible_capacity(servers, pipeline)
+    if capacity is None:
         return {}
-    chains = _chains(servers, pipeline, room)
-    if pairs and len(chains) == 1:
-        return _lay(_best_pairs(chains[0], pipeline), pipeline)
+    chains = _split_into_chains(servers, pipeline, capacity)
+    if pair_servers and len(chains) == 1:
+        return _assign_spans(_choose_pairing(chains[0], pipeline), pipeline)
     spans: Spans = {}
     for chain in chains:
-        # Each can do without any one server: the others take its requests.
-        spans.update(_lay(_spread(chain, pipeline), pipeline))
+        # The group can lose any one server, because the other chains take over its requests.
+        spans.update(_assign_spans(_unpaired_units(chain, pipeline), pipeline))
     return spans
 
 
-def most_layers(server: ServerFacts, pipeline: Pipeline, part: float) -> int:
+def max_layers(server: ServerFacts, pipeline: Pipeline, capacity: float) -> int:
     """Return how many layers a server may hold.
 
     :param server: the server, of a kind that the model runs on.
-    :param pipeline: facts of the model.
-    :param part: the room for tokens to keep, as a part of the wanted one.
+    :param pipeline: properties of the model.
+    :param capacity: token capacity to keep, as a fraction of the configured one.
     """
     assert server.accelerator is not None
-    return pipeline.most_layers(server.accelerator, part * pipeline.token_capacity)
+    return pipeline.max_layers(server.accelerator, capacity * pipeline.token_capacity)
 
 
-def _room_for(servers: Sequence[ServerFacts], pipeline: Pipeline) -> float | None:
-    """Return the largest room for tokens, as a part of the wanted one, with which the model fits."""
-    part = 1.0
-    while part >= LEAST_ROOM:
-        if sum(most_layers(server, pipeline, part) for server in servers) >= pipeline.layers:
-            return part
-        part *= TIGHTER
+def _feasible_capacity(servers: Sequence[ServerFacts], pipeline: Pipeline) -> float | None:
+    """Return the largest token capacity, as a fraction of the configured one, at which the model fits."""
+    capacity = 1.0
+    while capacity >= MIN_CAPACITY:
+        if sum(max_layers(server, pipeline, capacity) for server in servers) >= pipeline.layers:
+            return capacity
+        capacity *= CAPACITY_SHRINK_FACTOR
     return None
 
 
-def _chains(servers: Sequence[ServerFacts], pipeline: Pipeline, room: float) -> list[list[ServerFacts]]:
-    """Divide a group into chains that hold the model: the quickest servers by themselves, where their
-    kinds differ in speed and more than one chain comes of it, else as many as can be, of about equal size.
+def _split_into_chains(
+    servers: Sequence[ServerFacts], pipeline: Pipeline, capacity: float
+) -> list[list[ServerFacts]]:
+    """Divide a group into chains that each hold the model.
+
+    If the kinds differ in speed and more than one chain results, the fastest servers form a chain of their
+    own; otherwise as many chains as possible are formed, of about equal size.
 
-    Requests of a hall share its servers by the cost of their ways. Where quick and slow kinds stand in
-    each chain, every way has stages of both, and a token takes as long as on the slow ones: 65 to 95 ms
-    for an event of five tokens, 30 to 41 with the quickest by themselves (three halls of three kinds,
-    step factors 2.4, 5.3 and 16). A way then has 3 to 6 stages instead of 7 to 12, each of which may
-    fail, and fewer streams run when something does.
+    Requests of a hall are distributed over its servers by path cost. If fast and slow kinds were mixed in
+    each chain, every path would have stages of both, and each token would take as long as on the slow
+    ones: 65 to 95 ms for an event of five tokens, against 30 to 41 ms with the fastest servers in a chain
+    of their own (three halls of three kinds, step factors 2.4, 5.3 and 16). A path then has 3 to 6 stages
+    instead of 7 to 12, each of which may fail, and fewer streams run when one does.
     """
-    quick = _quick_chains(servers, pipeline, QUICK_ROOM * room)
-    if len(quick) > 1:
-        return quick
-    most = {server.id: most_layers(server, pipeline, room) for server in servers}
+    fast = _fast_chains(servers, pipeline, FAST_CHAIN_CAPACITY * capacity)
+    if len(fast) > 1:
+        return fast
+    most = {server.id: max_layers(server, pipeline, capacity) for server in servers}
     ordered = sorted((s for s in servers if most[s.id]), key=lambda s: (-most[s.id], s.id))
     count = sum(most.values()) // pipeline.layers
     while count > 1:
@@ -148,25 +154,26 @@
     return [ordered]
 
 
-def _quick_chains(
-    servers: Sequence[ServerFacts], pipeline: Pipeline, room: float
+def _fast_chains(
+    servers: Sequence[ServerFacts], pipeline: Pipeline, capacity: float
 ) -> list[list[ServerFacts]]:
-    """Divide a group into chains from the quickest servers down; none where all are of like speed.
+    """Divide a group into chains, starting with the fastest servers.
 
-    :return: chains that hold the model; what is left over stands with the last, slowest one.
+    :return: chains that hold the model, with the leftover servers added to the last, slowest one; empty
+        if all servers have about the same speed.
     """
 
     def factor(server: ServerFacts) -> float:
         return pipeline.accelerators[server.accelerator or ""].step_factor
 
-    if max(map(factor, servers)) < SAME_SPEED * min(map(factor, servers)):
+    if max(map(factor, servers)) < SAME_SPEED_RATIO * min(map(factor, servers)):
         return []
     chains: list[list[ServerFacts]] = []
     chain: list[ServerFacts] = []
     layers = 0
-    for server in sorted(servers, key=lambda s: (factor(s), -most_layers(s, pipeline, room), s.id)):
+    for server in sorted(servers, key=lambda s: (factor(s), -max_layers(s, pipeline, capacity), s.id)):
         chain.append(server)
-        layers += most_layers(server, pipeline, room)
+        layers += max_layers(server, pipeline, capacity)
         if layers >= pipeline.layers:
             chains.append(chain)
             chain, layers = [], 0
@@ -176,38 +183,38 @@
 
 
 class _Unit:
-    """A server, or two that hold the same layers so that either can do without the other."""
+    """One server, or a pair of servers that hold the same layers so that either can be lost."""
 
-    __slots__ = ("most", "servers")
+    __slots__ = ("max_layers", "servers")
 
-    def __init__(self, servers: tuple[ServerFacts, ...], most: int) -> None:
+    def __init__(self, servers: tuple[ServerFacts, ...], max_layers: int) -> None:
         self.servers = servers
-        self.most = most
+        self.max_layers = max_layers
 
-    def middle(self) -> float:
-        """Return the middle of what its servers hold now."""
+    def current_midpoint(self) -> float:
+        """Return the midpoint of the layers that its servers hold now."""
         return sum(s.first + s.last for s in self.servers) / (2 * len(self.servers))
 
 
-def _spread(chain: Sequence[ServerFacts], pipeline: Pipeline) -> list[_Unit]:
-    """Have all servers of a chain hold as few layers as the model allows, so that most requests fit."""
-    for part in _rooms(chain, pipeline):
-        most = [most_layers(server, pipeline, part) for server in chain]
+def _unpaired_units(chain: Sequence[ServerFacts], pipeline: Pipeline) -> list[_Unit]:
+    """Make a unit of each server, with the fewest layers per server, so that the most requests fit."""
+    for capacity in _candidate_capacities(chain, pipeline):
+        most = [max_layers(server, pipeline, capacity) for server in chain]
         if sum(most) >= pipeline.layers:
             return [_Unit((server,), bound) for server, bound in zip(chain, most, strict=True)]
     return []
 
 
-def _best_pairs(chain: Sequence[ServerFacts], pipeline: Pipeline) -> list[_Unit]:
-    """Pair as many servers of a chain as leave enough of the room that it can have."""
+def _choose_pairing(chain: Sequence[ServerFacts], pipeline: Pipeline) -> list[_Unit]:
+    """Pair as many servers of a chain as possible without reducing its token capacity too far."""
     found: list[_Unit] = []
     most_paired, least = -1, 0.0
-    for part in _rooms(chain, pipeline):
-        units = _pairs(chain, pipeline, part)
+    for capacity in _candidate_capacities(chain, pipeline):
+        units = _pair_servers(chain, pipeline, capacity)
         if not units:
             continue
-        least = least or KEPT_ROOM * part
-        if part < least:
+        least = least or MIN_PAIRED_CAPACITY * capacity
+        if capacity < least:
             break
         paired = sum(len(unit.servers) > 1 for unit in units)
         if paired > most_paired:
@@ -215,26 +222,30 @@
     return found
 
 
-def _rooms(chain: Sequence[ServerFacts], pipeline: Pipeline) -> Iterator[float]:
-    """Go through rooms for tokens, as parts of the wanted one, from the most that can be used down."""
+def _candidate_capacities(chain: Sequence[ServerFacts], pipeline: Pipeline) -> Iterator[float]:
+    """Yield token capacities, as fractions of the configured one, in descending order.
+
+    The first is the largest that the servers' slots can use, but not less than the configured capacity.
+    """
     slots = min(server.slots for server in chain)
-    part = max(1.0, slots * pipeline.usual_tokens / pipeline.token_capacity)
-    while part > LEAST_ROOM:
-        yield part
-        part *= ROOM_STEP
+    capacity = max(1.0, slots * pipeline.typical_tokens / pipeline.token_capacity)
+    while capacity > MIN_CAPACITY:
+        yield capacity
+        capacity *= CAPACITY_STEP
 
 
-def _pairs(chain: Sequence[ServerFacts], pipeline: Pipeline, room: float) -> list[_Unit]:
-    """Pair as many servers of a chain as the memory left allows, cheapest kinds first.
+def _pair_servers(chain: Sequence[ServerFacts], pipeline: Pipeline, capacity: float) -> list[_Unit]:
+    """Pair as many servers of a chain as the remaining memory allows, cheapest kinds first.
 
-    :return: the units; none when the chain does not hold the model with this room.
+    :return: the units; empty if the chain cannot hold the model with this token capacity.
     """
     by_kind: dict[str, list[ServerFacts]] = {}
     for server in sorted(chain, key=lambda s: ((s.first + s.last) / 2, s.id)):
         by_kind.setdefault(server.accelerator or "", []).append(server)
-    alone = {kind: most_layers(servers[0], pipeline, room) for kind, servers in by_kind.items()}
+    alone = {kind: max_layers(servers[0], pipeline, capacity) for kind, servers in by_kind.items()}
     paired = {
-        kind: most_layers(servers[0], pipeline, room * PAIR_LEFT) for kind, servers in by_kind.items()
+        kind: max_layers(servers[0], pipeline, capacity * PAIR_CAPACITY_SHARE)
+        for kind, servers in by_kind.items()
     }
     slack = sum(alone[kind] * len(servers) for kind, servers in by_kind.items()) - pipeline.layers
     if slack < 0:
@@ -250,11 +261,11 @@
     return units
 
 
-def _lay(units: Sequence[_Unit], pipeline: Pipeline) -> Spans:
-    """Lay the units of a chain side by side over all layers."""
-    lengths = _lengths(units, pipeline)
-    # In the order of what they hold already, so that few layers move.
-    order = sorted(range(len(units)), key=lambda i: (units[i].middle(), i))
+def _assign_spans(units: Sequence[_Unit], pipeline: Pipeline) -> Spans:
+    """Assign consecutive spans to the units of a chain, covering all layers."""
+    lengths = _layer_counts(units, pipeline)
+    # Keeping the order of what they hold now moves the fewest layers.
+    order = sorted(range(len(units)), key=lambda i: (units[i].current_midpoint(), i))
     spans: Spans = {}
     position = 0
     for i in order:
@@ -265,49 +276,52 @@
     return spans
 
 
-def _lengths(units: Sequence[_Unit], pipeline: Pipeline) -> list[int]:
-    """Share out the layers: fast kinds take all they can, kinds of like speed the rest evenly."""
+def _layer_counts(units: Sequence[_Unit], pipeline: Pipeline) -> list[int]:
+    """Return the number of layers of each unit.
+
+    The fastest kinds get as many layers as they can hold; kinds of about the same speed share evenly.
+    """
     left = pipeline.layers
     lengths = [0] * len(units)
-    for tier in _tiers(units, pipeline):
-        most = [units[i].most for i in tier]
-        take = min(left, sum(most))
-        for i, length in zip(tier, _divide(take, most), strict=True):
+    for tier in _speed_tiers(units, pipeline):
+        most = [units[i].max_layers for i in tier]
+        assigned = min(left, sum(most))
+        for i, length in zip(tier, _apportion(assigned, most), strict=True):
             lengths[i] = length
-        left -= take
+        left -= assigned
     return lengths
 
 
-def _tiers(units: Sequence[_Unit], pipeline: Pipeline) -> list[list[int]]:
+def _speed_tiers(units: Sequence[_Unit], pipeline: Pipeline) -> list[list[int]]:
     def factor(i: int) -> float:
         return pipeline.accelerators[units[i].servers[0].accelerator or ""].step_factor
 
     tiers: list[list[int]] = []
     for i in sorted(range(len(units)), key=lambda i: (factor(i), i)):
-        if tiers and factor(i) < SAME_SPEED * factor(tiers[-1][0]):
+        if tiers and factor(i) < SAME_SPEED_RATIO * factor(tiers[-1][0]):
             tiers[-1].append(i)
         else:
             tiers.append([i])
     return tiers
 
 
-def _divide(total: int, most: Sequence[int]) -> list[int]:
-    """Divide a number in proportion to bounds, none above its bound, by largest remainders."""
-    whole = sum(most)
-    exact = [total * bound / whole for bound in most]
+def _apportion(total: int, bounds: Sequence[int]) -> list[int]:
+    """Divide a number in proportion to upper bounds, by the largest-remainder method."""
+    whole = sum(bounds)
+    exact = [total * bound / whole for bound in bounds]
     parts = [int(value) for value in exact]
-    by_rest = sorted(range(len(most)), key=lambda i: parts[i] - exact[i])
-    for i in by_rest[: total - sum(parts)]:
+    by_remainder = sorted(range(len(bounds)), key=lambda i: parts[i] - exact[i])
+    for i in by_remainder[: total - sum(parts)]:
         parts[i] += 1
     return parts
 
 
 def count_holders(counts: list[int], span: Span, by: int = 1) -> None:
-    """Add the holders of a span to the number of holders of each layer.
+    """Add holders of a span to the number of holders of each layer.
 
-    :param counts: holders by layer; changed in place.
-    :param span: the layers.
-    :param by: how many more hold them; negative for fewer.
+    :param counts: number of holders by layer; changed in place.
+    :param span: the layers held.
+    :param by: number of holders to add; negative to remove them.
     """
     for layer in range(span.first, min(span.last, len(counts))):
         counts[layer] += by
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -79,7 +79,7 @@
 def test_without_pairs_a_hall_has_more_room() -> None:
     model = pipeline()
     fleet = servers(a={"big": 3, "middle": 3, "small": 5})
-    spread = tile_group(fleet, model, pairs=False)
+    spread = tile_group(fleet, model, pair_servers=False)
     paired = tile_group(fleet, model)
     assert sum(s.length for s in spread.values()) < sum(s.length for s in paired.values())
 
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -55,7 +55,7 @@
 
     def use(self, server: Server) -> float:
         facts = server.facts
-        return server.cached / self.model.cache_size(facts.accelerator or "", facts.held)
+        return server.cached / self.model.cache_capacity(facts.accelerator or "", facts.held)
 
 
 def tiles(path: Path, layers: int) -> bool:
@@ -107,7 +107,7 @@
     assert path is not None
     crowded = path.servers[1]
     facts = crowded.facts
-    full = site.model.cache_size(facts.accelerator or "", facts.held)
+    full = site.model.cache_capacity(facts.accelerator or "", facts.held)
     site.paths.elsewhere = lambda: {facts.key: ServerLoad(facts.id, 0, int(full))}
     other = site.choose()
     assert other is not None
@@ -259,14 +259,14 @@
         served += 1
         path = find_path(found, search)
     for server in found:
-        size = model.cache_size(server.facts.accelerator or "", server.facts.held)
+        size = model.cache_capacity(server.facts.accelerator or "", server.facts.held)
         assert server.cached <= MOST_USE * size
     if path is None and served:
         # Some layer has no holder left with room for one more request on all its layers.
         assert any(
             all(
                 s.cached + demand.cached * s.facts.held
-                > MOST_USE * model.cache_size(s.facts.accelerator or "", s.facts.held)
+                > MOST_USE * model.cache_capacity(s.facts.accelerator or "", s.facts.held)
                 for s in found
                 if s.facts.first <= layer < s.facts.last
             )
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -53,7 +53,7 @@
         self.call.fingerprint = None
         self.call.group, self.call.method, self.call.target, self.call.body = "g", "POST", b"/x", b"prompt"
         self.moved = moved
-        path = paths.choose(SERVICE, self.model, self.model.usual())
+        path = paths.choose(SERVICE, self.model, self.model.typical_request())
         assert path is not None
         paths.take(path, self.model)
         self.call.once = False
@@ -188,7 +188,7 @@
     full = scene.run.path.servers[-1]
 
     def chosen() -> Any:
-        return scene.peers.paths.choose(SERVICE, scene.model, scene.model.usual())
+        return scene.peers.paths.choose(SERVICE, scene.model, scene.model.typical_request())
 
     assert full in chosen().servers
     refused.by(full)
--- a/tests/test_tiling.py
+++ b/tests/test_tiling.py
@@ -13,7 +13,7 @@
 from bayglade.pipelines import Accelerator, Pipeline
 from bayglade.repair import fill, missing, repair
 from bayglade.servers import Server, ServerFacts
-from bayglade.tiling import Span, groups, tile
+from bayglade.tiling import Span, group_servers, tile_fleet
 
 SERVICE = ServiceName("s")
 KINDS = {"big": (36000.0, 3.0), "middle": (21600.0, 16.0), "small": (14400.0, 15.0)}
@@ -56,7 +56,7 @@
 
 def search(model: Pipeline) -> Search:
     """Search for a usual request while nothing else runs."""
-    return Search(model, model.usual(), lambda server: server.cached)
+    return Search(model, model.typical_request(), lambda server: server.cached)
 
 
 def paths_of(held: Sequence[Server], model: Pipeline) -> list[Path]:
@@ -64,7 +64,7 @@
     halls = by_hall(held)
     found = {hall: find_path(each, search(model)) for hall, each in halls.items()}
     others = [server for hall, each in halls.items() if found[hall] is None for server in each]
-    over = Search(model, model.usual(), lambda server: server.cached, lambda one, other: 1.0)
+    over = Search(model, model.typical_request(), lambda server: server.cached, lambda one, other: 1.0)
     paths = [path for path in found.values() if path is not None]
     mixed = find_path(others, over)
     return [*paths, mixed] if mixed is not None else paths
@@ -80,7 +80,7 @@
 
 
 def placed(listed: list[ServerFacts], model: Pipeline) -> list[Server]:
-    spans = tile(listed, model)
+    spans = tile_fleet(listed, model)
     return [
         Server(msgspec.structs.replace(f, first=spans[f.id].first, last=spans[f.id].last))
         for f in listed
@@ -114,7 +114,7 @@
         assert [s.first for s in stages] == [0, *(s.last for s in stages[:-1])]
         assert stages[-1].last == model.layers
         assert len({s.backend for s in stages}) == len(stages)
-    able = [g for g in groups(listed, model) if len({f.hall for f in g}) == 1]
+    able = [g for g in group_servers(listed, model) if len({f.hall for f in g}) == 1]
     assert len({p.hall for p in paths if len({s.facts.hall for s in p.servers}) == 1}) >= len(able)
 
 
@@ -129,7 +129,7 @@
 def test_no_server_holds_more_than_its_memory(halls: dict[str, dict[str, int]], layers: int) -> None:
     model = pipeline(layers)
     listed = servers(**halls)
-    spans = tile(listed, model)
+    spans = tile_fleet(listed, model)
     for facts in listed:
         span = spans.get(facts.id, Span(0, 0))
         assert 0 <= span.first <= span.last <= layers
@@ -140,7 +140,7 @@
 def test_a_card_that_cannot_hold_a_layer_is_left_out() -> None:
     model = pipeline(8, 15_000.0)
     listed = servers(a={"big": 4, "middle": 2, "small": 3})
-    spans = tile(listed, model)
+    spans = tile_fleet(listed, model)
     assert not any("small" in backend for backend in spans)
 
 
@@ -226,7 +226,9 @@
     for server in held:
         facts = server.facts
         for layer in range(facts.first, facts.last):
-            rooms[layer] += model.room(facts.accelerator or "", facts.held, facts.held) / model.usual_tokens
+            rooms[layer] += (
+                model.token_room(facts.accelerator or "", facts.held, facts.held) / model.typical_tokens
+            )
     return rooms
 
 
@@ -236,7 +238,7 @@
     holders = [sum(s.facts.first <= layer < s.facts.last for s in held) for layer in range(model.layers)]
     assert min(holders) >= 2
     # Pairs would leave less than the wanted room on the quick ones.
-    assert min(room_of_layers(held, model)) > 2 * 1.5 * model.token_capacity / model.usual_tokens
+    assert min(room_of_layers(held, model)) > 2 * 1.5 * model.token_capacity / model.typical_tokens
 
 
 @pytest.mark.parametrize(
@@ -252,7 +254,7 @@
     held = placed(servers(a=kinds), model)
     memory = sum(model.accelerators[s.facts.accelerator or ""].memory_mb for s in held)
     # What one copy of all layers leaves, if it could be shared out evenly.
-    ideal = (memory - model.layers * model.layer_mb) / model.token_mb / model.usual_tokens
+    ideal = (memory - model.layers * model.layer_mb) / model.token_mb / model.typical_tokens
     assert min(room_of_layers(held, model)) >= 0.6 * min(ideal, 96.0)
 
 
