--- a/bayglade/loading.py
+++ b/bayglade/loading.py
@@ -22,7 +22,7 @@
 from bayglade.logs import event
 from bayglade.metrics import Metrics
 from bayglade.pipelines import Pipeline
-from bayglade.repair import fill, missing, repair
+from bayglade.repair import count_missing, fill_empty, repair
 from bayglade.servers import ServerFacts
 from bayglade.tiling import Span, Spans, group_servers, tile_group
 
@@ -179,7 +179,7 @@
         holding = [facts for facts in group if facts.held]
         if not holding:
             return tile_group(group, pipeline, self.pairs) if self._settled(at) else {}
-        spans = fill(holding, empty, pipeline)
+        spans = fill_empty(holding, empty, pipeline)
         filled = [
             msgspec.structs.replace(f, first=spans[f.id].first, last=spans[f.id].last)
             for f in empty
@@ -187,12 +187,12 @@
         ]
         after = [*holding, *filled]
         name = min(facts.hall for facts in group)
-        if not missing(after, pipeline.layers):
+        if not count_missing(after, pipeline.layers):
             self.missing_since.pop(name, None)
             return spans
         if name not in self.missing_since:
             self.missing_since[name] = at
-            event("INFO", "layers missing", hall=name, count=missing(after, pipeline.layers))
+            event("INFO", "layers missing", hall=name, count=count_missing(after, pipeline.layers))
         if at - self.missing_since[name] < MEND_SECONDS:
             return spans
         return spans | self._mended(group, after, pipeline)
@@ -206,7 +206,7 @@
             else f
             for f in after
         ]
-        if not missing(changed, pipeline.layers):
+        if not count_missing(changed, pipeline.layers):
             return spans
         if any(facts.id in self.given for facts in group):
             # The layout would be reckoned from a state that is about to change.
--- a/bayglade/repair.py
+++ b/bayglade/repair.py
@@ -1,7 +1,7 @@
-"""Repair: which layers servers should hold when some came, went or were lost.
+"""Computes which layers servers should hold after some were added, removed or lost.
 
-Little moves at a time, so that paths in use stay. Plain functions; see
-``docs/design/placement.md``.
+Each change moves as few layers as possible, so that paths in use remain. The
+functions have no side effects; see ``docs/design/placement.md``.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,34 +10,36 @@
 from bayglade.servers import ServerFacts
 from bayglade.tiling import Span, Spans, count_holders, max_layers
 
-SPARE_ROOM = 0.72
-"""Part of the operator's wanted room for tokens that a server which fills a hole keeps."""
-STRETCHED_ROOM = 0.5
-"""The same for a server that holds more than it otherwise would, as layers beside its own are missing."""
-HOLDER_GAINS = (100.0, 1.0, 0.03, 0.001)
-"""Gain of holding a layer that nobody, one, two or three servers hold: a layer with fewer holders
-goes first, whatever the length of a span."""
+REPAIR_CAPACITY = 0.72
+"""Token capacity that a server which fills a gap keeps, as a fraction of the configured capacity."""
+EXTENDED_CAPACITY = 0.5
+"""The same for a server that holds more layers than it otherwise would, because layers next to its own
+are missing."""
+GAIN_BY_HOLDERS = (100.0, 1.0, 0.03, 0.001)
+"""Gain of holding a layer that has no, one, two or three holders. The steps are so large that layers with
+fewer holders come first, whatever the length of the span."""
 
 
-def fill(servers: Sequence[ServerFacts], empty: Iterable[ServerFacts], pipeline: Pipeline) -> Spans:
-    """Choose spans for empty servers beside those that hold layers.
+def fill_empty(servers: Sequence[ServerFacts], empty: Iterable[ServerFacts], pipeline: Pipeline) -> Spans:
+    """Choose spans for empty servers, given the servers that hold layers.
 
     :param servers: the servers of the group that hold layers.
     :param empty: servers that hold none.
-    :param pipeline: facts of the model.
-    :return: a span for each empty server: where layers are missing first, then where
-        just one server holds them.
+    :param pipeline: properties of the model.
+    :return: a span for each empty server that can hold layers: first where layers are
+        missing, then where only one server holds them.
     """
     counts = [0] * pipeline.layers
     for server in servers:
         count_holders(counts, Span(server.first, server.last))
-    # Where most layers have several holders, chains were spread: what is longer would have least room.
-    spread = sorted(counts)[len(counts) // 2] > 1
-    usual = _usual_lengths(servers) if spread else {}
+    # If most layers have several holders, the layout has several chains with few layers per server;
+    # a server with a longer span than its peers would have the least token capacity.
+    several_chains = sorted(counts)[len(counts) // 2] > 1
+    longest = _longest_by_kind(servers) if several_chains else {}
     spans: Spans = {}
-    for server in sorted(empty, key=lambda s: (-max_layers(s, pipeline, SPARE_ROOM), s.id)):
+    for server in sorted(empty, key=lambda s: (-max_layers(s, pipeline, REPAIR_CAPACITY), s.id)):
         length = min(
-            max_layers(server, pipeline, SPARE_ROOM), usual.get(server.accelerator, pipeline.layers)
+            max_layers(server, pipeline, REPAIR_CAPACITY), longest.get(server.accelerator, pipeline.layers)
         )
         if length == 0:
             continue
@@ -48,8 +50,8 @@
     return spans
 
 
-def _usual_lengths(servers: Sequence[ServerFacts]) -> dict[str | None, int]:
-    """Return the most layers that a server of each kind holds."""
+def _longest_by_kind(servers: Sequence[ServerFacts]) -> dict[str | None, int]:
+    """Return the largest number of layers that a server of each kind holds."""
     lengths: dict[str | None, int] = {}
     for server in servers:
         lengths[server.accelerator] = max(lengths.get(server.accelerator, 0), server.held)
@@ -57,15 +59,15 @@
 
 
 def repair(servers: Sequence[ServerFacts], pipeline: Pipeline) -> Spans:
-    """Choose new spans for few servers so that missing layers are held again.
+    """Change the spans of a few servers so that missing layers are held again.
 
-    First servers move of which every layer is held by another one too; then
-    neighbours hold more than they otherwise would. Nothing else changes, so
-    that paths in use stay.
+    First, servers are moved whose layers are all held by other servers as well.
+    Then servers next to a remaining gap get more layers than they otherwise
+    would. All other servers keep their layers, so that paths in use remain.
 
     :param servers: the servers of a group that hold layers.
-    :param pipeline: facts of the model.
-    :return: the spans that change; they may not bring all layers back.
+    :param pipeline: properties of the model.
+    :return: the spans that change; some layers may still be missing.
     """
     held = {server.id: Span(server.first, server.last) for server in servers}
     counts = [0] * pipeline.layers
@@ -73,22 +75,22 @@
         count_holders(counts, span)
     changed: Spans = {}
     while 0 in counts:
-        hole = _first_hole(counts)
-        server = _spare_for(hole, servers, held, changed, counts, pipeline)
+        gap = _first_gap(counts)
+        server = _redundant_server(gap, servers, held, changed, counts, pipeline)
         if server is None:
             break
-        changed[server.id] = _over(hole, counts, max_layers(server, pipeline, SPARE_ROOM))
+        changed[server.id] = _span_over(gap, counts, max_layers(server, pipeline, REPAIR_CAPACITY))
         count_holders(counts, held[server.id], -1)
         count_holders(counts, changed[server.id])
-    _stretch(servers, held, changed, counts, pipeline)
+    _extend_neighbours(servers, held, changed, counts, pipeline)
     return changed
 
 
-def missing(servers: Iterable[ServerFacts], layers: int) -> int:
+def count_missing(servers: Iterable[ServerFacts], layers: int) -> int:
     """Count the layers that no server holds.
 
     :param servers: the servers.
-    :param layers: layers of the model.
+    :param layers: number of layers of the model.
     """
     counts = [0] * layers
     for server in servers:
@@ -97,11 +99,12 @@
 
 
 def _gain(counts: Sequence[int], first: int, length: int) -> float:
+    """Return the gain of a server holding a span, given the number of holders of each layer."""
     window = counts[first : first + length]
-    return sum(gain * window.count(holders) for holders, gain in enumerate(HOLDER_GAINS))
+    return sum(gain * window.count(holders) for holders, gain in enumerate(GAIN_BY_HOLDERS))
 
 
-def _first_hole(counts: Sequence[int]) -> Span:
+def _first_gap(counts: Sequence[int]) -> Span:
     first = counts.index(0)
     last = first
     while last < len(counts) and counts[last] == 0:
@@ -109,69 +112,72 @@
     return Span(first, last)
 
 
-def _spare_for(
-    hole: Span,
+def _redundant_server(
+    gap: Span,
     servers: Sequence[ServerFacts],
     held: Spans,
     changed: Spans,
     counts: Sequence[int],
     pipeline: Pipeline,
 ) -> ServerFacts | None:
-    """Choose a server that can leave its layers: the smallest that fills the hole, else the largest."""
-    spare = [
+    """Choose a server whose layers all have other holders.
+
+    The smallest one that fills the gap is preferred; if none does, the largest.
+    """
+    redundant = [
         server
         for server in servers
         if server.id not in changed
-        and max_layers(server, pipeline, SPARE_ROOM)
+        and max_layers(server, pipeline, REPAIR_CAPACITY)
         and min(counts[held[server.id].first : held[server.id].last], default=0) > 1
     ]
-    if not spare:
+    if not redundant:
         return None
 
-    def fit(server: ServerFacts) -> tuple[bool, int, str]:
-        most = max_layers(server, pipeline, SPARE_ROOM)
-        return most < hole.length, most if most >= hole.length else -most, server.id
+    def rank(server: ServerFacts) -> tuple[bool, int, str]:
+        most = max_layers(server, pipeline, REPAIR_CAPACITY)
+        return most < gap.length, most if most >= gap.length else -most, server.id
 
-    return min(spare, key=fit)
+    return min(redundant, key=rank)
 
 
-def _over(hole: Span, counts: Sequence[int], length: int) -> Span:
-    """Lay a span over as much of a hole as it covers, and over layers held just once beside it."""
-    if length <= hole.length:
-        return Span(hole.first, hole.first + length)
-    starts = range(max(0, hole.last - length), min(hole.first, len(counts) - length) + 1)
+def _span_over(gap: Span, counts: Sequence[int], length: int) -> Span:
+    """Return a span over as much of a gap as possible, extended over adjacent layers with few holders."""
+    if length <= gap.length:
+        return Span(gap.first, gap.first + length)
+    starts = range(max(0, gap.last - length), min(gap.first, len(counts) - length) + 1)
     first = max(starts, key=lambda start: (_gain(counts, start, length), -start))
     return Span(first, first + length)
 
 
-def _stretch(
+def _extend_neighbours(
     servers: Sequence[ServerFacts],
     held: Spans,
     changed: Spans,
     counts: list[int],
     pipeline: Pipeline,
 ) -> None:
-    """Have neighbours of the holes that are left hold more, down to the room of a pair."""
+    """Extend the spans of servers next to remaining gaps, down to ``EXTENDED_CAPACITY``."""
     for server in servers:
         if 0 not in counts:
             return
         span = changed.get(server.id, held[server.id])
-        free = max_layers(server, pipeline, STRETCHED_ROOM) - span.length
+        free = max_layers(server, pipeline, EXTENDED_CAPACITY) - span.length
         if free <= 0:
             continue
-        after = _zeros(counts, range(span.last, len(counts)), free)
-        before = _zeros(counts, range(span.first - 1, -1, -1), free - after)
+        after = _count_leading_gap(counts, range(span.last, len(counts)), free)
+        before = _count_leading_gap(counts, range(span.first - 1, -1, -1), free - after)
         if after + before:
             changed[server.id] = Span(span.first - before, span.last + after)
             count_holders(counts, Span(span.last, span.last + after))
             count_holders(counts, Span(span.first - before, span.first))
 
 
-def _zeros(counts: Sequence[int], layers: range, most: int) -> int:
-    """Count the layers held by nobody from the start of a range on, up to a number."""
+def _count_leading_gap(counts: Sequence[int], layers: range, limit: int) -> int:
+    """Count the consecutive layers without a holder at the start of a range, up to a limit."""
     found = 0
     for layer in layers:
-        if found >= most or counts[layer]:
+        if found >= limit or counts[layer]:
             break
         found += 1
     return found
--- a/tests/test_tiling.py
+++ b/tests/test_tiling.py
@@ -11,7 +11,7 @@
 from bayglade.ids import BackendId, HallName, ModelName, ServiceName
 from bayglade.pathfinding import Path, Search, by_hall, find_path
 from bayglade.pipelines import Accelerator, Pipeline
-from bayglade.repair import fill, missing, repair
+from bayglade.repair import count_missing, fill_empty, repair
 from bayglade.servers import Server, ServerFacts
 from bayglade.tiling import Span, group_servers, tile_fleet
 
@@ -158,9 +158,9 @@
     lost = next(f for f in held if f.id == "a-middle-0")
     rest = [f for f in held if f is not lost]
     empty = msgspec.structs.replace(lost, id=BackendId("a-middle-new"), first=0, last=0)
-    spans = fill(rest, [empty], model)
+    spans = fill_empty(rest, [empty], model)
     filled = msgspec.structs.replace(empty, first=spans[empty.id].first, last=spans[empty.id].last)
-    assert missing([*rest, filled], model.layers) == 0
+    assert count_missing([*rest, filled], model.layers) == 0
 
 
 @pytest.mark.parametrize(("count", "limit"), [(200, 0.3), (1000, 2.0)])
@@ -190,7 +190,7 @@
             else f
             for f in rest
         ]
-        assert missing(after, model.layers) == 0
+        assert count_missing(after, model.layers) == 0
         assert len(spans) <= 3
 
 
@@ -201,7 +201,7 @@
     spans = repair(rest, model)
     for facts in rest:
         others = [f for f in rest if f is not facts]
-        if missing(others, model.layers) > missing(rest, model.layers) and facts.id in spans:
+        if count_missing(others, model.layers) > count_missing(rest, model.layers) and facts.id in spans:
             assert spans[facts.id].first <= facts.first
             assert spans[facts.id].last >= facts.last
 
@@ -216,7 +216,7 @@
     model = pipeline(layers=60)
     held = [server.facts for server in holding([(0, 60)] * 3 + [(0, 30)])]
     empty = servers(b={"small": 1})[0]
-    span = fill(held, [empty], model)[empty.id]
+    span = fill_empty(held, [empty], model)[empty.id]
     assert span.first >= 30
 
 
@@ -264,7 +264,7 @@
     lost = held[0].facts
     length = lost.held
     empty = msgspec.structs.replace(lost, id=BackendId("new"), first=0, last=0)
-    span = fill([s.facts for s in held[1:]], [empty], model)[empty.id]
+    span = fill_empty([s.facts for s in held[1:]], [empty], model)[empty.id]
     assert span.length <= length
 
 
