--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -88,7 +88,7 @@
             self.router.usage,
             self.metrics,
             self._leaving,
-            self.placer.recent,
+            self.placer.recently_confirmed,
             self._heard,
             self.rng,
         )
--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -11,7 +11,7 @@
 from bayglade.ids import HallName
 from bayglade.models import Route
 from bayglade.pipelines import Demand, Pipeline
-from bayglade.places import Place
+from bayglade.reservations import Reservation
 from bayglade.servers import Server
 
 HOP_MS = 0.25
@@ -34,7 +34,7 @@
 """Returns the milliseconds that a hop to another hall adds to each token."""
 
 
-class Path(Place):
+class Path(Reservation):
     """One way through all layers for one request, with what it costs a token in milliseconds."""
 
     __slots__ = ("cost", "demand", "hall", "route", "use")
--- a/bayglade/placement.py
+++ b/bayglade/placement.py
@@ -1,10 +1,11 @@
-"""Placement: which versions each backend server should hold, and the orders for it.
-
-The daemon that holds the placement lease compares what servers say they hold
-with what the settings want, and orders the difference: few loads at once, since
-the weight store is rate-limited, and never so many that too few servers are
-left for a range of layers. Orders name the wanted state, so a repeat is
-harmless, and carry the lease's epoch, so that servers can refuse an old holder.
+"""Decides which weight version each backend server should hold, and sends the orders for it.
+
+The daemon that holds the placement lease compares the versions that servers
+report with the ones that the settings want, and orders the difference. It
+starts few loads at once, because the weight store is rate-limited, and always
+leaves enough servers for each range of layers. An order names the desired
+state, so repeating it is harmless, and carries the epoch of the lease, so that
+servers can reject orders of an earlier holder.
 """
 
 from collections.abc import Mapping, Sequence
@@ -23,25 +24,27 @@
 from bayglade.settings import Tree, walk
 
 LEASE_NAME = "placement"
-PROBES_A_ROUND = 8
-TELL_SECONDS = 30.0
-CHECKED_MARGIN = 0.5
-UNCHECKED_MARGIN = 2.0
-"""Seconds of the lease that must be left: more where a server takes any order."""
+PROBES_PER_ROUND = 8
+ANNOUNCE_SECONDS = 30.0
+"""For how long other daemons are told that a server holds a new version."""
+FENCED_LEASE_MARGIN = 0.5
+UNFENCED_LEASE_MARGIN = 2.0
+"""Seconds of the lease that must be left when an order is sent. The margin is larger for servers that do
+not check the epoch of an order."""
 
-Range = tuple[ModelName, int, int]
-"""Servers that hold the same layers ``[first, last)`` of a model stand in for each other."""
+LayerRange = tuple[ModelName, int, int]
+"""A model and its layers ``[first, last)``. Servers with the same range can replace each other."""
 
 
-class Holding(msgspec.Struct, frozen=True):
-    """What a server says of itself: the versions it serves, and whether it loads."""
+class VersionReport(msgspec.Struct, frozen=True):
+    """What a server reports of itself: the versions it serves, and whether it is loading one."""
 
     versions: tuple[Version, ...]
     loading: bool = False
 
 
-class Order(msgspec.Struct, frozen=True):
-    """One server is to hold just one version."""
+class VersionOrder(msgspec.Struct, frozen=True):
+    """An order to one server to hold exactly one version."""
 
     backend: BackendId
     version: Version
@@ -51,7 +54,7 @@
     """List the versions of each model that any level of the tree wants.
 
     :param tree: the settings.
-    :return: versions by model, the model's own first.
+    :return: versions by model, starting with the model's own version.
     """
     wanted = {name: [model.version] for name, model in tree.models.items()}
     for _, level in walk(tree.root):
@@ -61,45 +64,45 @@
     return wanted
 
 
-def assign(tree: Tree) -> dict[BackendId, Version]:
-    """Assign a version to each server, alike within each range of layers.
+def assign_versions(tree: Tree) -> dict[BackendId, Version]:
+    """Assign a version to each server.
 
-    Servers of one range are dealt out to the wanted versions in turn, so every
-    version has a server in each range that has servers enough.
+    The servers of each range get the wanted versions in rotation, so that every
+    version has a server in each range with enough servers.
 
     :param tree: the settings.
-    :return: the version each server should hold.
+    :return: the version that each server should hold.
     """
     wanted = wanted_versions(tree)
     assigned: dict[BackendId, Version] = {}
-    for (model, _, _), servers in ranges(tree).items():
+    for (model, _, _), servers in servers_by_range(tree).items():
         versions = wanted[model]
-        for place, backend in enumerate(servers):
-            assigned[backend] = versions[place % len(versions)]
+        for index, backend in enumerate(servers):
+            assigned[backend] = versions[index % len(versions)]
     return assigned
 
 
-def ranges(tree: Tree) -> dict[Range, list[BackendId]]:
-    """Group the servers by what they can hold, in the order of their names."""
-    groups: dict[Range, list[BackendId]] = {}
+def servers_by_range(tree: Tree) -> dict[LayerRange, list[BackendId]]:
+    """Group the servers by their range of layers, in the order of their names."""
+    groups: dict[LayerRange, list[BackendId]] = {}
     for backend in sorted(tree.backends):
         facts = tree.backends[backend]
         groups.setdefault((facts.model, facts.first, facts.last), []).append(backend)
     return groups
 
 
-def next_orders(tree: Tree, holdings: Mapping[BackendId, Holding]) -> list[Order]:
-    """Work out which orders may be given now.
+def next_orders(tree: Tree, reports: Mapping[BackendId, VersionReport]) -> list[VersionOrder]:
+    """Compute the orders that may be sent now.
 
     :param tree: the settings.
-    :param holdings: what servers said lately; a server that said nothing is left alone.
-    :return: orders, few enough for the weight store and for the routes left.
+    :param reports: recent reports; a server without one gets no order.
+    :return: orders, within the limits on concurrent loads and on servers out of service.
     """
-    assigned = assign(tree)
-    free = tree.placement.loads_at_once - sum(holding.loading for holding in holdings.values())
-    orders: list[Order] = []
-    for servers in ranges(tree).values():
-        for order in _orders_of_range(servers, assigned, holdings, tree.placement.keep_part):
+    assigned = assign_versions(tree)
+    free = tree.placement.loads_at_once - sum(report.loading for report in reports.values())
+    orders: list[VersionOrder] = []
+    for servers in servers_by_range(tree).values():
+        for order in _orders_of_range(servers, assigned, reports, tree.placement.keep_part):
             if len(orders) >= free:
                 return orders
             orders.append(order)
@@ -109,72 +112,72 @@
 def _orders_of_range(
     servers: Sequence[BackendId],
     assigned: Mapping[BackendId, Version],
-    holdings: Mapping[BackendId, Holding],
+    reports: Mapping[BackendId, VersionReport],
     keep_part: float,
-) -> list[Order]:
-    serving = sum(1 for backend in servers if backend in holdings and not holdings[backend].loading)
-    # One server must be free to go, or a roll would never end.
+) -> list[VersionOrder]:
+    serving = sum(1 for backend in servers if backend in reports and not reports[backend].loading)
+    # At least one server must be allowed to stop serving, or a rollout would never finish.
     keep = min(len(servers) - 1, max(1, round(len(servers) * keep_part)))
     spare = serving - keep
     orders = []
     for backend in servers:
-        holding = holdings.get(backend)
-        if holding is None or holding.loading or holding.versions == (assigned[backend],):
+        report = reports.get(backend)
+        if report is None or report.loading or report.versions == (assigned[backend],):
             continue
-        # A server that serves nothing costs no route.
-        if holding.versions and spare <= 0:
+        # Reloading a server that serves no version does not reduce the routes.
+        if report.versions and spare <= 0:
             continue
-        spare -= bool(holding.versions)
-        orders.append(Order(backend, assigned[backend]))
+        spare -= bool(report.versions)
+        orders.append(VersionOrder(backend, assigned[backend]))
     return orders
 
 
 class Placer:
-    """Gives the orders of placement while this daemon holds the lease."""
+    """Sends placement orders while this daemon holds the lease."""
 
     def __init__(self, lease: Lease, engines: Engines, backends: Backends, metrics: Metrics) -> None:
         self.lease = lease
         self.engines = engines
         self.backends = backends
         self.metrics = metrics
-        self.placed: dict[BackendId, Placed] = {}
+        self.accepted: dict[BackendId, AcceptedOrder] = {}
 
     def __repr__(self) -> str:
         return f"<Placer {self.lease!r}>"
 
     def run_once(self, tree: Tree) -> None:
-        """Look at what servers hold and order what is missing.
+        """Compare what servers hold with the settings, and send the orders that are due.
 
         :param tree: the settings in force.
-        :raises PlatformUnavailable: when the lease cannot be kept.
+        :raises PlatformUnavailable: when the lease cannot be read or written.
         """
-        late = self._differing(tree)
-        if not late:
+        outdated = self._outdated(tree)
+        if not outdated:
             self.lease.release()
             return
         if not self.lease.keep():
             return
-        self._probe(late[:PROBES_A_ROUND])
-        for order in next_orders(tree, self._holdings()):
-            self._give(tree, order)
+        self._probe(outdated[:PROBES_PER_ROUND])
+        for order in next_orders(tree, self._reports()):
+            self._send(tree, order)
 
-    def recent(self) -> list[Held]:
-        """List the servers that came to hold a version lately, for the other daemons."""
+    def recently_confirmed(self) -> list[Held]:
+        """List the servers that recently reported holding the ordered version, for the other daemons."""
         at = now()
         return [
-            Held(backend, placed.version)
-            for backend, placed in self.placed.items()
-            if placed.done and at - placed.at < TELL_SECONDS
+            Held(backend, order.version)
+            for backend, order in self.accepted.items()
+            if order.confirmed and at - order.at < ANNOUNCE_SECONDS
         ]
 
-    def _differing(self, tree: Tree) -> list[BackendId]:
-        assigned = assign(tree)
+    def _outdated(self, tree: Tree) -> list[BackendId]:
+        assigned = assign_versions(tree)
         states = self.backends.states
         return [b for b, version in assigned.items() if b in states and states[b].versions() != (version,)]
 
-    def _holdings(self) -> dict[BackendId, Holding]:
+    def _reports(self) -> dict[BackendId, VersionReport]:
         return {
-            state.id: Holding(tuple(state.reported.versions), state.reported.loading)
+            state.id: VersionReport(tuple(state.reported.versions), state.reported.loading)
             for state in self.backends.states.values()
             if state.reported is not None and not state.leaving
         }
@@ -185,14 +188,14 @@
             if load is None:
                 continue
             self.backends.report(backend, load)
-            placed = self.placed.get(backend)
-            if placed is not None and tuple(load.versions) == (placed.version,):
-                placed.done, placed.at = True, now()
+            order = self.accepted.get(backend)
+            if order is not None and tuple(load.versions) == (order.version,):
+                order.confirmed, order.at = True, now()
 
-    def _give(self, tree: Tree, order: Order) -> None:
+    def _send(self, tree: Tree, order: VersionOrder) -> None:
         facts = tree.backends[order.backend]
-        # The last look before the send: a holder that was stopped must not act.
-        margin = CHECKED_MARGIN if facts.checks_orders else UNCHECKED_MARGIN
+        # Checked right before sending: a process that was suspended may have lost the lease meanwhile.
+        margin = FENCED_LEASE_MARGIN if facts.checks_orders else UNFENCED_LEASE_MARGIN
         if self.lease.seconds_left() < margin:
             return
         message = HoldVersion(self.lease.epoch, facts.model, order.version)
@@ -200,19 +203,19 @@
         self.metrics.count("orders.taken" if taken else "orders.failed")
         event("INFO", "order given", peer=order.backend, version=order.version, taken=taken)
         if taken:
-            self.placed[order.backend] = Placed(order.version)
+            self.accepted[order.backend] = AcceptedOrder(order.version)
             self._probe([order.backend])
 
 
-class Placed:
-    """An order that a server took; ``done`` once the server says it holds the version."""
+class AcceptedOrder:
+    """An order that a server accepted; ``confirmed`` once the server reports holding the version."""
 
-    __slots__ = ("at", "done", "version")
+    __slots__ = ("at", "confirmed", "version")
 
     def __init__(self, version: Version) -> None:
         self.version = version
-        self.done = False
+        self.confirmed = False
         self.at = now()
 
     def __repr__(self) -> str:
-        return f"<Placed {self.version} done={self.done}>"
+        return f"<AcceptedOrder {self.version} confirmed={self.confirmed}>"
--- a/bayglade/places.py
+++ b/bayglade/reservations.py
@@ -1,4 +1,4 @@
-"""Places: what a request takes of servers, from when they are chosen until it leaves them."""
+"""Reservations: the servers chosen for a request, and the rate-limit tokens taken from them."""
 
 from collections.abc import Sequence
 
@@ -6,8 +6,8 @@
 from bayglade.servers import Server, Throttle
 
 
-class Place:
-    """The servers that a request goes over, and what was taken of their limits for it.
+class Reservation:
+    """The servers that a request goes over, and the rate-limit tokens taken from them for it.
 
     :param servers: the servers; it is sent to the first.
     """
@@ -17,13 +17,13 @@
     def __init__(self, servers: tuple[Server, ...]) -> None:
         self.servers = servers
         self.reserved: list[Throttle] = []
-        """Limits out of which the request was taken, until it goes out."""
+        """Rate limits from which a token was taken; empty once the request has been sent."""
 
     def __repr__(self) -> str:
-        return f"<Place on {[server.facts.id for server in self.servers]}>"
+        return f"<Reservation on {[server.facts.id for server in self.servers]}>"
 
     def take(self, before: Sequence[Server] = ()) -> None:
-        """Take the request out of the limits of its servers.
+        """Take a token from the rate limit of each server that has one.
 
         :param before: servers that run it already.
         """
@@ -32,15 +32,15 @@
         self.reserved = [throttle for throttle in throttles if throttle is not None and throttle.take(at)]
 
     def release(self) -> None:
-        """Leave the servers; a request that did not go out is given back to their limits."""
+        """Release the servers, and return the tokens if the request was not sent."""
         for throttle in self.reserved:
             throttle.give_back()
         self.reserved = []
 
     def admits(self, server: Server) -> bool:
-        """Tell whether the request may go out over a server, as far as the server's limit goes."""
+        """Tell whether the rate limit of a server allows the request to be sent through it."""
         return server.throttle is None or server.throttle in self.reserved
 
-    def sent(self) -> None:
-        """Note that the request went out."""
+    def mark_sent(self) -> None:
+        """Note that the request has been sent, so that its tokens are used up."""
         self.reserved = []
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -222,7 +222,7 @@
     )
     if outcome.moved:
         peers.paths.take(path, pipeline, run.path)
-        path.sent()
+        path.mark_sent()
         run.move(path, since)
     return outcome.moved
 
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -10,8 +10,8 @@
 from bayglade.heads import Message, write_head
 from bayglade.logs import event
 from bayglade.pathfinding import Path
-from bayglade.places import Place
 from bayglade.relay import Peers
+from bayglade.reservations import Reservation
 from bayglade.servers import Server
 from bayglade.upstream import FRESH_SECONDS, IDLE_SECONDS, Exchange, open_exchange
 
@@ -22,7 +22,7 @@
     server: Server,
     path: Path | None,
     last_event: int | None,
-    place: Place | None = None,
+    place: Reservation | None = None,
 ) -> Exchange:
     """Send a call to a server.
 
@@ -56,7 +56,7 @@
         start = f"{call.method} {call.target.decode('latin-1')} HTTP/1.1"
         # Opening a connection may take as long as a server takes to say that it wants no more.
         check_sending(peers, call, server)
-        _keep_limits(place or path or Place((server,)))
+        _keep_limits(place or path or Reservation((server,)))
         exchange.send(write_head(start, headers) + call.body, call.deadline)
     except BaseException:
         exchange.link.sock.close()
@@ -85,7 +85,7 @@
         raise BackendUnwilling("the server wants no requests now", step="send", peer=server.facts.id)
 
 
-def _keep_limits(place: Place) -> None:
+def _keep_limits(place: Reservation) -> None:
     """Check that a request was taken out of the limits of its servers, just before it goes out.
 
     :raises BackendUnwilling: when one of them has named a limit since it was chosen.
@@ -93,7 +93,7 @@
     for server in place.servers:
         if not place.admits(server):
             raise BackendUnwilling("the limit of the server is used up", step="send", peer=server.facts.id)
-    place.sent()
+    place.mark_sent()
 
 
 def answer_head(
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -15,7 +15,7 @@
 from bayglade.clock import Decayed, now
 from bayglade.fairness import ShareOf, ShareQueue, Waiting
 from bayglade.ids import ServiceName
-from bayglade.places import Place
+from bayglade.reservations import Reservation
 from bayglade.settings import ROOT
 from bayglade.usage import Usage
 
@@ -32,7 +32,7 @@
 BEGUN_PRIORITY = 1 << 16
 """Priority of streams that have begun, above those of all calls: their callers wait in mid-answer."""
 
-P = TypeVar("P", bound=Place)
+P = TypeVar("P", bound=Reservation)
 
 Seek = Callable[[], P | None]
 """Returns a place with room that the request has taken, if there is one."""
@@ -47,7 +47,7 @@
 
     __slots__ = ("choosy", "granted", "hopeless", "seek")
 
-    def __init__(self, seek: Seek[Place], choosy: bool, hopeless: Callable[[], bool]) -> None:
+    def __init__(self, seek: Seek[Reservation], choosy: bool, hopeless: Callable[[], bool]) -> None:
         self.seek = seek
         self.choosy = choosy
         self.hopeless = hopeless
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -16,8 +16,8 @@
 from bayglade.heads import Headers, Message, end_to_end
 from bayglade.listener import Connection
 from bayglade.logs import event
-from bayglade.places import Place
 from bayglade.relay import Attempts, Peers, await_word, content_of, look_at
+from bayglade.reservations import Reservation
 from bayglade.sending import answer_head, send
 from bayglade.servers import Server
 from bayglade.trials import wait_apart
@@ -84,17 +84,17 @@
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.sent)
 
 
-def _find_place(peers: Peers, call: Call, attempts: Attempts) -> Place | None:
+def _find_place(peers: Peers, call: Call, attempts: Attempts) -> Reservation | None:
     """Choose a server, or wait until one that names a limit takes another request.
 
     :return: the place there, taken; nothing when there is none in time.
     """
 
-    def seek() -> Place | None:
+    def seek() -> Reservation | None:
         server = _least_busy(peers, call, attempts)
         if server is None:
             return None
-        place = Place((server,))
+        place = Reservation((server,))
         place.take()
         return place
 
@@ -122,7 +122,7 @@
     return None
 
 
-def _attempt(peers: Peers, call: Call, place: Place, attempts: Attempts) -> Answer:
+def _attempt(peers: Peers, call: Call, place: Reservation, attempts: Attempts) -> Answer:
     server = place.servers[0]
     attempts.tried.add(server.facts.id)
     server.in_flight += 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 from bayglade.exceptions import PlatformAnswerLost
 from bayglade.ids import BackendId, GroupPath, MemberId, Version
 from bayglade.leases import Lease, LeaseState
-from bayglade.placement import Holding, assign, next_orders
+from bayglade.placement import VersionReport, assign_versions, next_orders
 from standins.world import usual_tree
 
 
@@ -36,7 +36,7 @@
 
 
 def held(tree, version="v1"):
-    return {backend: Holding((Version(version),)) for backend in tree.backends}
+    return {backend: VersionReport((Version(version),)) for backend in tree.backends}
 
 
 def test_no_orders_when_all_servers_hold_what_is_wanted():
@@ -54,7 +54,7 @@
 
 def test_two_wanted_versions_both_get_servers_in_each_range():
     tree = tree_with(4, ("v1", "v2"))
-    assigned = assign(tree)
+    assigned = assign_versions(tree)
     for first in (0, 4):
         assert {assigned[BackendId(f"e{n}-{first}")] for n in range(4)} == {"v1", "v2"}
 
@@ -68,15 +68,15 @@
         if not orders:
             break
         for order in orders:
-            holdings[order.backend] = Holding((), loading=True)
+            holdings[order.backend] = VersionReport((), loading=True)
         assert sum(h.loading for h in holdings.values()) <= at_once
         for first in (0, 4):
             serving = [b for b, h in holdings.items() if b.endswith(f"-{first}") and h.versions]
             assert serving or servers == 1
         done = orders[0]
-        holdings[done.backend] = Holding((done.version,))
+        holdings[done.backend] = VersionReport((done.version,))
         for order in orders[1:]:
-            holdings[order.backend] = Holding((order.version,))
+            holdings[order.backend] = VersionReport((order.version,))
     assert all(h.versions == ("v2",) for h in holdings.values())
 
 
