--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -123,7 +123,7 @@
         :param before: the path that a running request leaves for it.
         """
         path.take(before.servers if before is not None else ())
-        self.pipes.sends((server.facts.hall for server in path.servers), pipeline, path.demand)
+        self.pipes.record((server.facts.hall for server in path.servers), pipeline, path.demand)
 
     def covered_in(
         self,
@@ -241,7 +241,7 @@
         pipeline, demand = search.pipeline, search.demand
 
         def crossing(one: HallName, other: HallName) -> float:
-            return self.pipes.crossing_ms(one, other, pipeline, demand)
+            return self.pipes.crossing_cost_ms(one, other, pipeline, demand)
 
         wide = Search(
             pipeline,
--- a/bayglade/pipelines.py
+++ b/bayglade/pipelines.py
@@ -1,19 +1,19 @@
-"""Facts of a model that runs as a pipeline of stages over mixed accelerators."""
+"""Properties of a model that runs as a pipeline of stages over different kinds of accelerators."""
 
 import msgspec
 
 from bayglade.ids import HallName, ModelName
 
 DEFAULT_REQUEST_TOKENS = 100.0
-"""Tokens that a request takes at least, where the operator does not say what is usual."""
+"""Tokens of a typical request where the configuration gives none, and the least that is assumed."""
 
 
 class Accelerator(msgspec.Struct, frozen=True, kw_only=True):
     """A kind of accelerator.
 
     ``memory_mb`` holds layers and the KV cache; ``step_factor`` and
-    ``read_factor`` multiply the model's times for a token step and for reading
-    a prompt.
+    ``read_factor`` multiply the model's times for a token step and for
+    prefill, the processing of a prompt.
     """
 
     memory_mb: float
@@ -22,24 +22,27 @@
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What a request asks of a model, in tokens."""
+    """The size of a request in tokens."""
 
     prompt: float
     answer: float
-    """Tokens that its answer is expected to have."""
+    """Expected length of its answer."""
 
     @property
     def cached(self) -> float:
-        """Return the tokens in the KV cache on average while it runs: half of the answer is there."""
+        """Return the tokens that it has in the KV cache on average while it runs.
+
+        On average, half of the answer has been generated.
+        """
         return self.prompt + self.answer / 2
 
 
 class Pipeline(msgspec.Struct, frozen=True, kw_only=True):
-    """A model whose layers are spread over backend servers.
+    """A model whose layers are distributed over backend servers.
 
-    ``step_ms`` is the time of a token step through all layers on an
-    accelerator of factor one, ``read_ms`` that of reading one prompt token.
-    ``token_mb`` is the KV cache of one token over all layers.
+    ``step_ms`` is the time of one token step through all layers on an
+    accelerator of factor one, ``read_ms`` the time of prefill for one prompt
+    token. ``token_mb`` is the KV cache of one token over all layers.
     """
 
     model: ModelName
@@ -47,7 +50,7 @@
     layer_mb: float
     token_mb: float
     token_capacity: int
-    """Tokens that a server is expected to hold at once (the operator's figure)."""
+    """Tokens that a server should have room for at once, as configured by the operator."""
 
     step_ms: float
     read_ms: float
@@ -57,79 +60,79 @@
     typical_prompt: int = 0
     typical_answer: int = 0
     request_ms: float = 0.0
-    """Time that each request of the usual size adds to a token step of all that run with it."""
+    """Time that each request of typical size adds to a token step of all requests in the same batch."""
 
     hop_mb: float = 0.0
-    """What each token sends from one stage to the next."""
+    """Data that each token sends from one stage to the next."""
 
     pipe_mbps: float = 0.0
-    """Rate of the pipe between two data halls; zero when it is not known."""
+    """Rate of the pipe between two data halls; zero if it is not known."""
 
     delays: dict[frozenset[HallName], float] = {}
-    """One way between two halls, in milliseconds."""
+    """One-way delay between two halls, in milliseconds."""
 
     def delay_ms(self, one: HallName, other: HallName) -> float:
-        """Return the time of one way between two halls."""
+        """Return the one-way delay between two halls."""
         return self.delays.get(frozenset((one, other)), 0.0)
 
     def typical_request(self) -> Demand:
-        """Return a request of the usual size."""
+        """Return a request of typical size."""
         if not self.typical_prompt and not self.typical_answer:
             return Demand(DEFAULT_REQUEST_TOKENS, 0.0)
         return Demand(float(self.typical_prompt), float(self.typical_answer))
 
     @property
     def prefill_ms_per_step(self) -> float:
-        """Return the time that a usual request's prompt adds to each token step, spread over its answer."""
+        """Return the time that prefill of a typical request adds to each token step of its answer."""
         return self.read_ms * self.typical_prompt / max(1, self.typical_answer)
 
     def prefill_ms(self, accelerator: str, tokens: float, layers: int) -> float:
-        """Return the milliseconds in which a server reads tokens through some of its layers.
+        """Return the milliseconds that a server takes for prefill in some of its layers.
 
         :param accelerator: its kind.
-        :param tokens: how many tokens.
-        :param layers: how many layers.
+        :param tokens: number of tokens.
+        :param layers: number of layers.
         """
         factor = self.accelerators[accelerator].read_factor
         return self.read_ms * factor * tokens * layers / self.layers
 
     def cache_capacity(self, accelerator: str, held: int) -> float:
-        """Return how much fits into the KV cache of a server.
+        """Return the capacity of a server's KV cache.
 
-        :param accelerator: the kind.
-        :param held: how many layers lie there.
+        :param accelerator: its kind.
+        :param held: number of layers that it holds.
         :return: tokens times layers.
         """
         return self.token_room(accelerator, held, 1)
 
     @property
     def typical_tokens(self) -> float:
-        """Return the tokens of a usual request at its end, prompt and answer."""
+        """Return the tokens of a typical request when it ends, prompt and answer."""
         return max(DEFAULT_REQUEST_TOKENS, float(self.typical_prompt + self.typical_answer))
 
     def free_mb(self, accelerator: str, held: int) -> float:
         """Return the memory that is left for the KV cache.
 
-        :param accelerator: the kind.
-        :param held: how many layers lie there.
-        :return: megabytes; negative when the layers do not fit.
+        :param accelerator: kind of the server.
+        :param held: number of layers that it holds.
+        :return: megabytes; negative if the layers do not fit.
         """
         return self.accelerators[accelerator].memory_mb - held * self.layer_mb
 
     def token_room(self, accelerator: str, held: int, run: int) -> float:
-        """Return how many tokens fit at once.
+        """Return how many tokens fit into a server's KV cache at once.
 
-        :param accelerator: the kind.
-        :param held: how many layers lie there.
-        :param run: how many of them a route uses.
+        :param accelerator: its kind.
+        :param held: number of layers that it holds.
+        :param run: how many of these a route uses.
         :return: tokens.
         """
         return self.free_mb(accelerator, held) / (self.token_mb / self.layers * max(run, 1))
 
     def max_layers(self, accelerator: str, tokens: float) -> int:
-        """Return how many layers fit beside a number of tokens in flight.
+        """Return how many layers fit on a server together with the KV cache of some tokens.
 
-        :param accelerator: the kind.
+        :param accelerator: its kind.
         :param tokens: tokens to keep room for.
         :return: layers.
         """
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -14,7 +14,7 @@
 from bayglade.pathfinding import MOST_USE, Path, Search, find_path
 from bayglade.paths import SPILL_USE, Paths
 from bayglade.pipelines import Demand, Pipeline
-from bayglade.pipes import MOST_PIPE_USE, UNKNOWN_CROSSING_MS, Pipes
+from bayglade.pipes import MAX_PIPE_USE, UNKNOWN_CROSSING_MS, Pipes
 from bayglade.servers import Server
 from tests.test_tiling import SERVICE, holding, pipeline, placed, servers, three_speeds
 
@@ -218,20 +218,20 @@
     model = model_with_pipes()
     pipes = Pipes()
     one, other = HallName("a"), HallName("b")
-    free = pipes.crossing_ms(one, other, model, USUAL)
+    free = pipes.crossing_cost_ms(one, other, model, USUAL)
     assert free < UNKNOWN_CROSSING_MS
     pipes.daemons = lambda: 4
     sent = 0
-    while pipes.crossing_ms(one, other, model, USUAL) < float("inf"):
-        pipes.sends([one, one, other, other], model, USUAL)
+    while pipes.crossing_cost_ms(one, other, model, USUAL) < float("inf"):
+        pipes.record([one, one, other, other], model, USUAL)
         sent += 1
         assert sent < 1000
-    assert pipes.use(frozenset((one, other)), model) >= MOST_PIPE_USE
-    assert pipes.crossing_ms(one, HallName("c"), model, USUAL) < float("inf")
+    assert pipes.use(frozenset((one, other)), model) >= MAX_PIPE_USE
+    assert pipes.crossing_cost_ms(one, HallName("c"), model, USUAL) < float("inf")
 
 
 def test_nothing_crosses_cheaply_where_no_pipe_is_known() -> None:
-    assert Pipes().crossing_ms(HallName("a"), HallName("b"), pipeline(), USUAL) == UNKNOWN_CROSSING_MS
+    assert Pipes().crossing_cost_ms(HallName("a"), HallName("b"), pipeline(), USUAL) == UNKNOWN_CROSSING_MS
 
 
 span_lists = st.lists(st.tuples(st.integers(0, 11), st.integers(1, 12)), max_size=12)
