--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -151,8 +151,8 @@
             self.intake.pipelines,
             self.metrics,
             self.rng,
-            pairs=Mechanism.PAIRS not in config.without,
-            first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
+            pair_servers=Mechanism.PAIRS not in config.without,
+            tries_first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
         )
         self.peering = Peering(
             config,
--- a/bayglade/leases.py
+++ b/bayglade/leases.py
@@ -1,13 +1,14 @@
-"""Leases: one daemon at a time holds a right, with an epoch that only grows.
+"""Leases: exclusive rights that one daemon at a time holds, each with an epoch that only grows.
 
-A lease is a row of the platform's table. Its holder writes the row anew to
-renew it; another daemon takes it over only after it has seen the row unchanged
-for the whole duration and a margin, on its own clock. No clock is compared
-with another's. The holder counts its time from before the write was sent, so
-that it stops before anybody else can begin.
+A lease is a row in the platform's store. The holder renews it by rewriting the
+row; another daemon takes it over only after it has seen the row unchanged, on
+its own clock, for the whole duration and a margin. Clocks of different daemons
+are never compared. The holder counts the duration from before it sent the
+write, so that it stops before another daemon can begin.
 
 A store that was restored from an older copy may show the row as it was before
-somebody took the lease: nobody else takes it until that one must have stopped.
+the current holder took the lease, so nobody else takes it until that holder
+must have stopped.
 """
 
 from enum import Enum
@@ -22,20 +23,22 @@
 from bayglade.rows import ABSENT, Condition, Position, Row, RowStore, Transaction, Write, raw
 
 DURATION = 6.0
-MARGIN = 2.0
+TAKEOVER_MARGIN = 2.0
 RENEW_AFTER = 2.0
-LOST_EPOCHS = 100
-"""Epochs that are left out after the store was restored: more than are handed out since a copy."""
+EPOCHS_SKIPPED_AFTER_RESTORE = 100
+"""How far the epoch jumps ahead after the store was restored: more epochs than may have been given out
+since the copy was made."""
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """A lease as it lies in the table."""
+    """A lease as stored in the platform's table."""
 
     holder: MemberId
     epoch: int
     released: bool = False
     written_in: StoreEpoch = UNKNOWN_EPOCH
-    """The epoch of the store in which it was written; one of an older copy is below the store's."""
+    """The store's epoch when the row was written. It is lower than the store's current epoch if the row
+    comes from an older copy."""
 
 
 class LeaseState(Enum):
@@ -43,38 +46,38 @@
 
     FREE = "free"
     HELD = "held"
-    OTHERS = "others"
+    HELD_BY_OTHER = "others"
 
 
 class Lease:
-    """One lease as one daemon sees it; times are monotonic seconds."""
+    """One lease as seen by one daemon; times are monotonic seconds."""
 
     def __init__(
         self,
         platform: RowStore,
         name: str,
-        me: MemberId,
+        member: MemberId,
         duration: float = DURATION,
-        margin: float = MARGIN,
+        margin: float = TAKEOVER_MARGIN,
         history: StoreHistory | None = None,
     ) -> None:
         self.platform = platform
         self.key = f"leases/{name}"
-        self.me = me
+        self.member = member
         self.duration = duration
         self.margin = margin
         self.epoch = 0
         self.history = history if history is not None else StoreHistory()
-        self.highest = 0
-        """The highest epoch seen in the row."""
+        self.highest_epoch = 0
+        """The highest lease epoch seen in the row."""
 
         self.condition = Condition(self.key, ABSENT)
-        """That the row is still as this daemon read or wrote it last."""
+        """Holds while the row is as this daemon last read or wrote it."""
 
-        self.held_in = UNKNOWN_EPOCH
-        """The epoch of the store in which it was taken or renewed."""
+        self.store_epoch = UNKNOWN_EPOCH
+        """The store's epoch when this daemon last took or renewed the lease."""
 
-        self.good_until = 0.0
+        self.valid_until = 0.0
         self.seen: Position | None = None
         self.seen_at = 0.0
 
@@ -82,72 +85,77 @@
         return f"<Lease {self.key} {self.state().value} epoch={self.epoch}>"
 
     def state(self) -> LeaseState:
-        """Tell whether this daemon holds the lease at this moment."""
-        if now() < self.good_until:
+        """Return whether this daemon holds the lease now, and if not, whether another one may."""
+        if now() < self.valid_until:
             return LeaseState.HELD
         known = self.seen is not None and self.seen.version > ABSENT
-        return LeaseState.OTHERS if known else LeaseState.FREE
+        return LeaseState.HELD_BY_OTHER if known else LeaseState.FREE
 
     def seconds_left(self) -> float:
-        """Return how long the holder may still act; zero or less when it may not."""
-        return self.good_until - now()
+        """Return how long this daemon may still act under the lease; not positive if it may not."""
+        return self.valid_until - now()
 
-    def keep(self) -> bool:
-        """Take the lease when it is free, renew it when it is due.
+    def acquire_or_renew(self) -> bool:
+        """Acquire the lease if it is free, or renew it if renewal is due.
 
-        :return: whether it is held.
-        :raises PlatformUnavailable: when the table does not answer.
+        :return: whether this daemon holds it.
+        :raises PlatformUnavailable: when the store does not answer.
         """
-        current = self.held_in == self.history.epoch
+        current = self.store_epoch == self.history.epoch
         if current and self.seconds_left() > max(self.duration - RENEW_AFTER, self.duration / 2):
             return True
         row = self.platform.read([self.key]).get(self.key)
-        found = self._decoded(row.value) if row is not None else None
+        found = self._decode(row.value) if row is not None else None
         condition = row.condition(self.key) if row is not None else Condition(self.key, ABSENT)
-        self.highest = max(self.highest, self.epoch, found.epoch if found is not None else 0)
-        lost = self._lost(row, found)
-        if self._mine(found) and (not lost or self.seconds_left() > 0):
+        self.highest_epoch = max(self.highest_epoch, self.epoch, found.epoch if found is not None else 0)
+        lost = self._may_be_lost(row, found)
+        if self._is_own(found) and (not lost or self.seconds_left() > 0):
             return self._write(condition, self.epoch)
         if lost and self.seconds_left() > 0:
-            # Whoever else reads the row has to see who holds the lease.
+            # Other daemons that read the row must see who holds the lease.
             return self._write(condition, self.epoch)
         free = row is None or (found is not None and found.released)
-        if (free and not lost) or self._unchanged(row):
+        if (free and not lost) or self._expired(row):
             unknown = lost or (found is None and self.history.restored_at is not None)
-            return self._write(condition, self.highest + (LOST_EPOCHS if unknown else 1))
+            return self._write(
+                condition, self.highest_epoch + (EPOCHS_SKIPPED_AFTER_RESTORE if unknown else 1)
+            )
         return False
 
-    def _mine(self, found: LeaseRow | None) -> bool:
-        """Tell whether the row says that this daemon holds the lease."""
-        return found is not None and found.holder == self.me and found.epoch == self.epoch > 0
+    def _is_own(self, found: LeaseRow | None) -> bool:
+        """Tell whether the row names this daemon as the holder, with the epoch that it holds."""
+        return found is not None and found.holder == self.member and found.epoch == self.epoch > 0
 
-    def _lost(self, row: Row | None, found: LeaseRow | None) -> bool:
-        """Tell whether a write of the row may have been lost by a store that was restored."""
+    def _may_be_lost(self, row: Row | None, found: LeaseRow | None) -> bool:
+        """Tell whether a write of the row may have been lost when the store was restored."""
         restored_at = self.history.restored_at
         if restored_at is not None and now() - restored_at <= self.duration + self.margin:
             return True
         return row is not None and found is not None and UNKNOWN_EPOCH < found.written_in < row.epoch
 
-    def _decoded(self, value: msgspec.Raw) -> LeaseRow | None:
-        """Read the row; one that another writer left is a lease of nobody known, to be waited out."""
+    def _decode(self, value: msgspec.Raw) -> LeaseRow | None:
+        """Decode the row; nothing if it is invalid.
+
+        An invalid row is treated as a lease of an unknown holder, which has to expire.
+        """
         try:
             return msgspec.json.decode(value, type=LeaseRow)
         except (msgspec.DecodeError, RecursionError) as error:
-            event("WARNING", "lease makes no sense", key=self.key, error=str(error))
+            event("WARNING", "lease row is invalid", key=self.key, error=str(error))
             return None
 
     def release(self) -> None:
-        """Give the lease back, so that the next daemon need not wait for its end.
+        """Release the lease, so that another daemon need not wait until it expires.
 
-        :raises PlatformUnavailable: when the table does not answer; it then lapses.
+        :raises PlatformUnavailable: when the store does not answer; the lease then expires by itself.
         """
         if self.state() is not LeaseState.HELD:
             return
-        self.good_until = 0.0
+        self.valid_until = 0.0
         self._transact(self.epoch, released=True)
 
-    def _unchanged(self, row: Row | None) -> bool:
-        """Tell whether the row has been seen the same for longer than it may last."""
+    def _expired(self, row: Row | None) -> bool:
+        """Tell whether the row has been seen unchanged for longer than the lease lasts."""
         position = row.position if row is not None else Position(self.history.epoch, ABSENT)
         if position != self.seen:
             self.seen, self.seen_at = position, now()
@@ -160,17 +168,17 @@
         try:
             won = self._transact(epoch)
         except PlatformAnswerLost:
-            # Whether it is held shows at the next read of the row.
+            # The next read of the row shows whether the write took effect.
             self.epoch = epoch
             return False
         if won:
             self.epoch = epoch
-            self.good_until = asked + self.duration
-            self.held_in = self.history.epoch
+            self.valid_until = asked + self.duration
+            self.store_epoch = self.history.epoch
         return won
 
     def _transact(self, epoch: int, released: bool = False) -> bool:
-        row = LeaseRow(self.me, epoch, released, self.history.epoch)
+        row = LeaseRow(self.member, epoch, released, self.history.epoch)
         won = self.platform.transact(Transaction([self.condition], [Write(self.key, raw(row))])).committed
         if won:
             self.condition = msgspec.structs.replace(self.condition, version=self.condition.version + 1)
--- a/bayglade/loading.py
+++ b/bayglade/loading.py
@@ -1,10 +1,11 @@
-"""Loading: orders the layers that backend servers should hold, one daemon at a time.
+"""Orders backend servers to load the layers that they should hold, from one daemon at a time.
 
-Every daemon sees what is missing; the one that gets the lease gives the orders,
-and gives the lease back when nothing is missing. An order names the number of
-orders that the server has taken, so that one from an old view is refused, and
-what is wanted is always compared with what servers report, since an order
-without an answer may be carried out later.
+Every daemon detects missing layers; the one that gets the lease sends the
+orders, and releases the lease when nothing is missing. An order names the
+number of orders that the server has accepted so far, so that the server can
+refuse one that is based on outdated information. The desired layout is always
+compared with what servers report, because an order without an answer may still
+be carried out later.
 """
 
 import random
@@ -29,37 +30,45 @@
 LEASE_NAME = "placement"
 LEASE_SECONDS = 2.5
 LEASE_MARGIN = 0.7
-"""Short: the lease is held only while there is something to order."""
-LOOK_SECONDS = 0.4
-OTHERS_SECONDS = 1.0
-"""Time between looks at a lease that another daemon has: each is a call of the store, paid for."""
-OTHERS_BEGIN_SECONDS = 6.0
-"""Something that has to be ordered for so long may be left by the daemons that try first: others try."""
-OTHERS_AT_ONCE = 2
-"""How many of these try at each look, on average: looks of all daemons at a lease that is not for them
-would be a large part of all calls of the store."""
-SETTLE_SECONDS = 1.5
-"""An empty fleet is laid out once no server was listed for so long: the list fills slowly at a start."""
-MEND_SECONDS = 0.8
-"""Layers that are missing for this long are loaded elsewhere: a server that does not answer
-may be back sooner, one that crashed comes back empty and seconds later."""
-ORDER_SETTLE_SECONDS = 6.0
-"""An order without effect is given again after this time: unanswered ones may be carried out late."""
-ORDERS_AT_ONCE = 8
+"""Duration of the lease and the margin for taking it over. Both are short, because the lease is held only
+while there is something to order."""
+CHECK_INTERVAL = 0.4
+SLOW_CHECK_INTERVAL = 1.0
+"""Seconds between checks of a lease that another daemon holds. Each check is a store call, which is
+charged for."""
+FALLBACK_DELAY = 6.0
+"""When something has been missing for this long, the daemons that try for the lease first may be unable to
+order it, and other daemons try as well."""
+FALLBACK_DAEMONS_PER_CHECK = 2
+"""How many of the other daemons check the lease in each interval, on average. If all of them did, their
+checks would be a large part of all store calls."""
+LAYOUT_DELAY = 1.5
+"""Seconds without a new server after which an empty fleet gets its layout. After a start, servers are
+listed one by one."""
+REPAIR_DELAY = 0.8
+"""Seconds after which missing layers are loaded on other servers. A server that did not answer may be back
+sooner; one that crashed takes seconds to restart and is then empty."""
+ORDER_RETRY_SECONDS = 6.0
+"""Seconds after which an order without visible effect is sent again. An order that got no answer may be
+carried out late."""
+MAX_CONCURRENT_ORDERS = 8
 SEND_MARGIN = 0.3
-"""Seconds of the lease that must be left when an order goes out."""
-REPORT_SECONDS = 0.5
+"""Seconds of the lease that must be left when an order is sent."""
+REPORT_TIMEOUT = 0.5
 
 
-class Given(msgspec.Struct, frozen=True):
-    """An order that was given lately."""
+class PendingOrder(msgspec.Struct, frozen=True):
+    """An order that was sent recently and whose effect is not visible yet."""
 
     span: Span
-    at: float
+    sent_at: float
 
 
 class Loader:
-    """What one daemon knows of orders; times are monotonic seconds."""
+    """Detects missing layers and orders them while this daemon holds the lease.
+
+    Times are monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -69,8 +78,8 @@
         pipelines: Callable[[], dict[ServiceName, Pipeline]],
         metrics: Metrics,
         rng: random.Random,
-        pairs: bool = True,
-        first: Callable[[], bool] = lambda: True,
+        pair_servers: bool = True,
+        tries_first: Callable[[], bool] = lambda: True,
     ) -> None:
         self.fleet = fleet
         self.control = control
@@ -78,95 +87,99 @@
         self.pipelines = pipelines
         self.metrics = metrics
         self.rng = rng
-        self.pairs = pairs
-        """Whether servers are paired where memory allows."""
+        self.pair_servers = pair_servers
+        """Whether to pair servers where memory allows."""
 
-        self.first = first
-        """Tells whether this daemon is one of those that try for the lease at once."""
+        self.tries_first = tries_first
+        """Tells whether this daemon is one of those that try for the lease without a delay."""
 
         self.daemons: Callable[[], int] = lambda: 1
-        """Returns how many daemons look for what is missing."""
+        """Returns how many daemons check for missing layers."""
 
-        self.given: dict[BackendId, Given] = {}
-        fleet.on_restart.append(self._forget)
+        self.pending_orders: dict[BackendId, PendingOrder] = {}
+        fleet.on_restart.append(self._forget_order)
         self.missing_since: dict[str, float] = {}
-        self.wanting_since: float | None = None
-        """Since when there has been something to order."""
+        self.work_since: float | None = None
+        """When the current work was first seen; nothing while there is nothing to order."""
 
-        self.whole_at: tuple[int, dict[ServiceName, Pipeline]] | None = None
-        """State of the fleet, and the models, when nothing was missing or wanted."""
+        self.complete_state: tuple[int, dict[ServiceName, Pipeline]] | None = None
+        """The fleet's change counter and the models when nothing was left to order. While they are
+        unchanged, there is nothing to check."""
 
     def __repr__(self) -> str:
-        return f"<Loader {self.lease!r} {len(self.given)} orders>"
+        return f"<Loader {self.lease!r} {len(self.pending_orders)} orders>"
 
-    def _forget(self, backend: BackendId) -> None:
-        self.given.pop(backend, None)
+    def _forget_order(self, backend: BackendId) -> None:
+        self.pending_orders.pop(backend, None)
 
     def run(self) -> None:
-        """Look for missing layers now and then, for ever."""
-        pause = LOOK_SECONDS
+        """Check for missing layers periodically; never returns."""
+        pause = CHECK_INTERVAL
         while True:
             eventlet.sleep(pause * self.rng.uniform(0.8, 1.2))
-            pause = LOOK_SECONDS if self.first() else OTHERS_SECONDS
+            pause = CHECK_INTERVAL if self.tries_first() else SLOW_CHECK_INTERVAL
             try:
                 if not self.step():
-                    pause = OTHERS_SECONDS
+                    pause = SLOW_CHECK_INTERVAL
             except PlatformUnavailable as error:
                 event("INFO", "lease not kept", error=repr(error))
 
     def step(self) -> bool:
         """Order what is missing, if this daemon gets the lease.
 
-        :return: false when something is missing and another daemon has the lease.
+        :return: false if something is missing and this daemon does not hold the lease.
         :raises PlatformUnavailable: when the lease cannot be read or written.
         """
         pipelines = self.pipelines()
         state = (self.fleet.changed, pipelines)
-        if state == self.whole_at:
+        if state == self.complete_state:
             return True
         for service, pipeline in pipelines.items():
-            wanted = self.wanted(service, pipeline)
+            wanted = self.wanted_spans(service, pipeline)
             if not wanted:
                 continue
-            if not self._may_try() or not self.lease.keep():
+            if not self._may_try_lease() or not self.lease.acquire_or_renew():
                 return False
-            pool = eventlet.GreenPool(ORDERS_AT_ONCE)
+            pool = eventlet.GreenPool(MAX_CONCURRENT_ORDERS)
             for backend, span in wanted.items():
-                pool.spawn_n(self._order, backend, span)
+                pool.spawn_n(self._send_order, backend, span)
             pool.waitall()
             return True
-        self.wanting_since = None
-        if not self.given:
+        self.work_since = None
+        if not self.pending_orders:
             self.lease.release()
             if not self.missing_since and self._settled(now()):
-                self.whole_at = state
+                self.complete_state = state
         return True
 
-    def _may_try(self) -> bool:
-        """Tell whether to look at the lease: few daemons do so at once, each look is paid for."""
+    def _may_try_lease(self) -> bool:
+        """Tell whether this daemon should check the lease now.
+
+        Only a few daemons do so at a time, because each check is a store call, which is charged for.
+        """
         at = now()
-        if self.wanting_since is None:
-            self.wanting_since = at
-        if self.first() or self.lease.seconds_left() > 0:
+        if self.work_since is None:
+            self.work_since = at
+        if self.tries_first() or self.lease.seconds_left() > 0:
             return True
-        if at - self.wanting_since <= OTHERS_BEGIN_SECONDS:
+        if at - self.work_since <= FALLBACK_DELAY:
             return False
-        return self.rng.random() < OTHERS_AT_ONCE / max(1, self.daemons())
+        return self.rng.random() < FALLBACK_DAEMONS_PER_CHECK / max(1, self.daemons())
 
-    def wanted(self, service: ServiceName, pipeline: Pipeline) -> Spans:
-        """Work out the spans to be ordered now.
+    def wanted_spans(self, service: ServiceName, pipeline: Pipeline) -> Spans:
+        """Compute the spans to order now.
 
         :param service: a service whose servers hold a model.
-        :param pipeline: facts of the model.
-        :return: spans by server, without those under way.
+        :param pipeline: properties of the model.
+        :return: spans by server, without those that are already ordered.
         """
         at = now()
         servers = [s for s in self.fleet.of(service) if s.placed(at) and s.facts.last <= pipeline.layers]
         excluded = {s.facts.id for s in servers if s.excluded is not None}
-        expected = [self._as_ordered(s.facts, at) for s in servers]
+        expected = [self._with_pending_order(s.facts, at) for s in servers]
         wanted: Spans = {}
         for group in group_servers(expected, pipeline):
-            wanted.update(self._wanted_of(group, pipeline, at))
+            wanted.update(self._wanted_in_group(group, pipeline, at))
         held = {facts.id: Span(facts.first, facts.last) for facts in expected}
         return {
             backend: span
@@ -174,11 +187,11 @@
             if held[backend] != span and backend not in excluded
         }
 
-    def _wanted_of(self, group: list[ServerFacts], pipeline: Pipeline, at: float) -> Spans:
+    def _wanted_in_group(self, group: list[ServerFacts], pipeline: Pipeline, at: float) -> Spans:
         empty = [facts for facts in group if not facts.held]
         holding = [facts for facts in group if facts.held]
         if not holding:
-            return tile_group(group, pipeline, self.pairs) if self._settled(at) else {}
+            return tile_group(group, pipeline, self.pair_servers) if self._settled(at) else {}
         spans = fill_empty(holding, empty, pipeline)
         filled = [
             msgspec.structs.replace(f, first=spans[f.id].first, last=spans[f.id].last)
@@ -193,12 +206,12 @@
         if name not in self.missing_since:
             self.missing_since[name] = at
             event("INFO", "layers missing", hall=name, count=count_missing(after, pipeline.layers))
-        if at - self.missing_since[name] < MEND_SECONDS:
+        if at - self.missing_since[name] < REPAIR_DELAY:
             return spans
-        return spans | self._mended(group, after, pipeline)
+        return spans | self._repaired(group, after, pipeline)
 
-    def _mended(self, group: list[ServerFacts], after: list[ServerFacts], pipeline: Pipeline) -> Spans:
-        """Bring missing layers back with few changes, or lay the group out anew where that fails."""
+    def _repaired(self, group: list[ServerFacts], after: list[ServerFacts], pipeline: Pipeline) -> Spans:
+        """Restore missing layers with few changes or, if that is not possible, with a new layout."""
         spans = repair(after, pipeline)
         changed = [
             msgspec.structs.replace(f, first=spans[f.id].first, last=spans[f.id].last)
@@ -208,33 +221,33 @@
         ]
         if not count_missing(changed, pipeline.layers):
             return spans
-        if any(facts.id in self.given for facts in group):
-            # The layout would be reckoned from a state that is about to change.
+        if any(facts.id in self.pending_orders for facts in group):
+            # A new layout would be based on a state that is about to change.
             return {}
-        return tile_group(group, pipeline, self.pairs)
+        return tile_group(group, pipeline, self.pair_servers)
 
     def _settled(self, at: float) -> bool:
-        return at - self.fleet.grown_at > SETTLE_SECONDS
+        return at - self.fleet.grown_at > LAYOUT_DELAY
 
-    def _as_ordered(self, facts: ServerFacts, at: float) -> ServerFacts:
-        """Return what a server will hold once the order under way is done."""
-        given = self.given.get(facts.id)
-        if given is None:
+    def _with_pending_order(self, facts: ServerFacts, at: float) -> ServerFacts:
+        """Return the facts of a server as they will be once its pending order is carried out."""
+        pending = self.pending_orders.get(facts.id)
+        if pending is None:
             return facts
-        if at - given.at > ORDER_SETTLE_SECONDS or (facts.first, facts.last) == (
-            given.span.first,
-            given.span.last,
+        if at - pending.sent_at > ORDER_RETRY_SECONDS or (facts.first, facts.last) == (
+            pending.span.first,
+            pending.span.last,
         ):
-            del self.given[facts.id]
+            del self.pending_orders[facts.id]
             return facts
-        return msgspec.structs.replace(facts, first=given.span.first, last=given.span.last)
+        return msgspec.structs.replace(facts, first=pending.span.first, last=pending.span.last)
 
-    def _order(self, backend: BackendId, span: Span) -> None:
+    def _send_order(self, backend: BackendId, span: Span) -> None:
         server = self.fleet.servers.get(backend)
         if server is None:
             return
         address = server.facts.address
-        report = self.control.report(backend, address, REPORT_SECONDS)
+        report = self.control.report(backend, address, REPORT_TIMEOUT)
         if report is None:
             return
         if not self.fleet.reported(server, report.incarnation, report.first, report.last):
@@ -243,10 +256,10 @@
         if report.loading:
             return
         if (report.first, report.last) != (server.facts.first, server.facts.last):
-            # Its row is late: what was wanted came from an old view.
+            # Its row in the store is outdated, and so is the span computed from it.
             event("INFO", "order withheld", peer=backend, holds=[report.first, report.last])
             return
-        # The last look before the send: a holder that was stopped must not act.
+        # Checked right before sending: a process that was suspended may have lost the lease meanwhile.
         if self.lease.seconds_left() < SEND_MARGIN:
             return
         outcome = self.control.place(backend, address, span.first, span.last, report.orders_taken)
@@ -261,4 +274,4 @@
             outcome=outcome.value,
         )
         if outcome is not OrderOutcome.REFUSED:
-            self.given[backend] = Given(span, now())
+            self.pending_orders[backend] = PendingOrder(span, now())
--- a/bayglade/placement.py
+++ b/bayglade/placement.py
@@ -155,7 +155,7 @@
         if not outdated:
             self.lease.release()
             return
-        if not self.lease.keep():
+        if not self.lease.acquire_or_renew():
             return
         self._probe(outdated[:PROBES_PER_ROUND])
         for order in next_orders(tree, self._reports()):
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -224,9 +224,9 @@
     at = 100.0
     monkeypatch.setattr("bayglade.leases.now", lambda: at)
     lease = Lease(Rows(leases__placement=b"\xff"), "placement", MemberId("d"), 2.5, 0.7)
-    assert not lease.keep()
+    assert not lease.acquire_or_renew()
     at += 3.3
-    assert lease.keep()
+    assert lease.acquire_or_renew()
     assert lease.seconds_left() > 0
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -18,7 +18,7 @@
 from bayglade.entries.wire import Finding, Findings, Heartbeat, ServerLoad
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, HallName, Incarnation, MemberId, Revision
-from bayglade.loading import Given, Loader
+from bayglade.loading import Loader, PendingOrder
 from bayglade.metrics import create_metrics
 from bayglade.platform import decode_report
 from bayglade.quarantine import Quarantine
@@ -229,7 +229,9 @@
 
     monkeypatch.setattr(loading, "now", lambda: 100.0)
     control: Any = SimpleNamespace(report=report, place=place)
-    lease: Any = SimpleNamespace(keep=lambda: True, seconds_left=lambda: 9.0, release=lambda: None)
+    lease: Any = SimpleNamespace(
+        acquire_or_renew=lambda: True, seconds_left=lambda: 9.0, release=lambda: None
+    )
     fleet.grown_at = 0.0
     metrics: Any = create_metrics(None, "d")  # type: ignore[arg-type]
     model = {SERVICE: pipeline()}
@@ -246,10 +248,10 @@
 def test_an_order_to_the_earlier_start_is_not_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet, server = one_of_a_hall()
     loader, _ = loader_of(fleet, lambda *_: None, monkeypatch)
-    loader.given[server.facts.id] = Given(Span(0, 9), 99.0)
+    loader.pending_orders[server.facts.id] = PendingOrder(Span(0, 9), 99.0)
     facts = msgspec.structs.replace(server.facts, incarnation=Incarnation(LATER))
     fleet.take([facts], [], outage=False)
-    assert loader._as_ordered(facts, 100.0).held == 0
+    assert loader._with_pending_order(facts, 100.0).held == 0
 
 
 def test_no_order_is_given_by_what_an_earlier_start_holds(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -259,7 +261,7 @@
         return msgspec.structs.replace(ALIVE, incarnation=Incarnation(LATER), first=0, last=0)
 
     loader, placed = loader_of(fleet, report, monkeypatch)
-    loader._order(server.facts.id, Span(0, 9))
+    loader._send_order(server.facts.id, Span(0, 9))
     assert placed == []
     assert fleet.servers[server.facts.id].facts.incarnation == LATER
 
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -8,7 +8,7 @@
 
 from bayglade import loading
 from bayglade.fleet import Fleet
-from bayglade.loading import OTHERS_AT_ONCE, OTHERS_BEGIN_SECONDS, Loader
+from bayglade.loading import FALLBACK_DAEMONS_PER_CHECK, FALLBACK_DELAY, Loader
 from bayglade.metrics import create_metrics
 from tests.test_tiling import SERVICE, pipeline, servers
 
@@ -24,7 +24,9 @@
         fleet = Fleet()
         fleet.take(servers(a={"big": 3, "middle": 3, "small": 5}), [], outage=False)
         fleet.grown_at = 0.0
-        lease: Any = SimpleNamespace(keep=self._keep, seconds_left=lambda: self.left, release=lambda: None)
+        lease: Any = SimpleNamespace(
+            acquire_or_renew=self._keep, seconds_left=lambda: self.left, release=lambda: None
+        )
         self.loader = Loader(
             fleet,
             SimpleNamespace(),  # type: ignore[arg-type]
@@ -32,7 +34,7 @@
             lambda: {SERVICE: pipeline()},
             create_metrics(None, "d"),  # type: ignore[arg-type]
             random.Random(1),
-            first=lambda: first,
+            tries_first=lambda: first,
         )
 
     def _keep(self) -> bool:
@@ -49,7 +51,7 @@
 def test_other_daemons_try_once_it_was_left_undone(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=False)
     site.loader.step()
-    site.at += OTHERS_BEGIN_SECONDS
+    site.at += FALLBACK_DELAY
     site.loader.step()
     assert site.looks == 0
     site.at += 0.1
@@ -61,10 +63,10 @@
     site = Site(monkeypatch, first=False)
     site.loader.daemons = lambda: 100
     site.loader.step()
-    site.at += OTHERS_BEGIN_SECONDS + 0.1
+    site.at += FALLBACK_DELAY + 0.1
     for _ in range(500):
         site.loader.step()
-    assert 0 < site.looks < 500 * 4 * OTHERS_AT_ONCE / 100
+    assert 0 < site.looks < 500 * 4 * FALLBACK_DAEMONS_PER_CHECK / 100
 
 
 def test_a_daemon_that_has_the_lease_keeps_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -77,10 +79,10 @@
 def test_the_wait_counts_anew_once_nothing_was_to_be_done(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=False)
     site.loader.step()
-    wanted = site.loader.wanted
-    site.loader.wanted = lambda service, model: {}  # type: ignore[method-assign]
+    wanted = site.loader.wanted_spans
+    site.loader.wanted_spans = lambda service, model: {}  # type: ignore[method-assign]
     site.loader.step()
-    site.loader.wanted = wanted  # type: ignore[method-assign]
-    site.at += OTHERS_BEGIN_SECONDS + 0.1
+    site.loader.wanted_spans = wanted  # type: ignore[method-assign]
+    site.at += FALLBACK_DELAY + 0.1
     site.loader.step()
     assert site.looks == 0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -120,41 +120,41 @@
 
 def test_only_one_of_two_holds_a_lease(clock):
     _, one, other = two_leases()
-    assert one.keep() and not other.keep()
-    assert (one.state(), other.state()) == (LeaseState.HELD, LeaseState.OTHERS)
+    assert one.acquire_or_renew() and not other.acquire_or_renew()
+    assert (one.state(), other.state()) == (LeaseState.HELD, LeaseState.HELD_BY_OTHER)
 
 
 def test_a_frozen_holder_has_stopped_before_the_next_begins(clock):
     _, one, other = two_leases()
-    assert one.keep() and not other.keep()
-    clock.at += leases.DURATION + leases.MARGIN / 2
+    assert one.acquire_or_renew() and not other.acquire_or_renew()
+    clock.at += leases.DURATION + leases.TAKEOVER_MARGIN / 2
     assert one.state() is not LeaseState.HELD
-    assert not other.keep()
-    clock.at += leases.MARGIN
-    assert other.keep() and other.epoch == one.epoch + 1
-    assert not one.keep() and one.seconds_left() < 0
+    assert not other.acquire_or_renew()
+    clock.at += leases.TAKEOVER_MARGIN
+    assert other.acquire_or_renew() and other.epoch == one.epoch + 1
+    assert not one.acquire_or_renew() and one.seconds_left() < 0
 
 
 def test_a_holder_that_renews_is_not_taken_over(clock):
     _, one, other = two_leases()
     for _ in range(20):
-        assert one.keep() and not other.keep()
+        assert one.acquire_or_renew() and not other.acquire_or_renew()
         clock.at += leases.RENEW_AFTER + 0.1
 
 
 def test_a_released_lease_is_free_at_once_with_a_new_epoch(clock):
     _, one, other = two_leases()
-    assert one.keep()
+    assert one.acquire_or_renew()
     one.release()
-    assert other.keep() and other.epoch == 2
+    assert other.acquire_or_renew() and other.epoch == 2
 
 
 def test_a_lost_answer_does_not_leave_two_holders(clock):
     table, one, other = two_leases()
     table.lose = 1
-    assert not one.keep()
-    assert not other.keep()
-    assert one.keep() and not other.keep()
+    assert not one.acquire_or_renew()
+    assert not other.acquire_or_renew()
+    assert one.acquire_or_renew() and not other.acquire_or_renew()
 
 
 def test_a_version_of_a_group_is_wanted_beside_the_models_own():
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -7,7 +7,7 @@
 from bayglade.epochs import GuardedTable, StoreHistory
 from bayglade.exceptions import PlatformAnswerLost
 from bayglade.ids import MemberId, StoreEpoch
-from bayglade.leases import LOST_EPOCHS, Lease, LeaseState
+from bayglade.leases import EPOCHS_SKIPPED_AFTER_RESTORE, Lease, LeaseState
 from bayglade.rows import (
     ABSENT,
     Changes,
@@ -81,7 +81,7 @@
 
     def keep(self) -> bool:
         self.history.note(self.rows.epoch)
-        return self.lease.keep()
+        return self.lease.acquire_or_renew()
 
 
 @pytest.fixture
@@ -192,4 +192,4 @@
         clock.at += 0.4
     while not started.keep():
         clock.at += 0.4
-    assert started.lease.epoch >= first.lease.epoch + LOST_EPOCHS
+    assert started.lease.epoch >= first.lease.epoch + EPOCHS_SKIPPED_AFTER_RESTORE
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -66,7 +66,7 @@
 
 def test_a_lease_is_lost_in_it(suspend: Suspend) -> None:
     lease = Lease(Rows(), "place", MemberId("me"), duration=6.0)
-    assert lease.keep()
+    assert lease.acquire_or_renew()
     assert lease.state() is LeaseState.HELD
     suspend(6.0)
     assert lease.state() is not LeaseState.HELD
