--- a/bayglade/callers/api.py
+++ b/bayglade/callers/api.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from bayglade.callers import wire
-from bayglade.claims import Claim, Kept
+from bayglade.claims import Claim, StoredAnswer
 from bayglade.clock import now
 from bayglade.completions import Answer
 from bayglade.directory import Directory, Holder
@@ -88,7 +88,7 @@
         request = self._completion_request(environ, holder, ask)
         writer = wire.Writer(request.id, ask)
         claim = self.router.claim(request, _digest(environ, body))
-        if isinstance(claim, Kept):
+        if isinstance(claim, StoredAnswer):
             return _replayed(writer, claim.answer)
         if ask.stream:
             return self._streamed(environ, request, writer, claim)
@@ -156,7 +156,7 @@
         content = writer.whole(answer.committed, _reason(answer))
         if claim is not None:
             headers = {"Content-Type": JSON_TYPE}
-            self.router.claims.keep(claim, ServiceAnswer(status=200, headers=headers, body=content))
+            self.router.claims.store_answer(claim, ServiceAnswer(status=200, headers=headers, body=content))
         return content
 
     def _service(self, environ: Environ, holder: Holder) -> Response:
@@ -169,7 +169,7 @@
         body = read_body(environ, self.max_body_bytes, self.body_timeout)
         request = self._service_request(environ, holder, ServiceName(name), service.repeatable, body)
         claim = self.router.claim(request, _digest(environ, body))
-        if isinstance(claim, Kept):
+        if isinstance(claim, StoredAnswer):
             return _service_response(request.id, claim.answer)
         with self.presence.watching(_socket(environ)):
             return _service_response(request.id, self.router.call(request, claim))
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -194,7 +194,7 @@
         event("INFO", "stopped")
 
     def _wait_for_claims(self) -> None:
-        while self.router.claims.busy():
+        while self.router.claims.is_writing():
             eventlet.sleep(DRAIN_POLL)
 
     def _settings_changed(self, current: Current) -> None:
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -6,7 +6,7 @@
 
 from bayglade.admission import Admission
 from bayglade.backends import Backends
-from bayglade.claims import Claim, Claims, Kept
+from bayglade.claims import Claim, Claims, StoredAnswer
 from bayglade.clock import now
 from bayglade.completions import Answer, Completions
 from bayglade.division import own_part
@@ -90,7 +90,7 @@
         )
         self.backends.divide(part)
 
-    def claim(self, request: Request, body_sha256: str) -> Claim | Kept | None:
+    def claim(self, request: Request, body_sha256: str) -> Claim | StoredAnswer | None:
         """Claim a request that may not be repeated.
 
         :param request: the request.
@@ -126,7 +126,7 @@
         with self._admitted(request, SERVICE_COST, claim):
             answer = self._call_one_of(request, self.tree.services[request.service])
         if claim is not None:
-            self.claims.keep(claim, answer)
+            self.claims.store_answer(claim, answer)
         return answer
 
     @contextmanager
