--- a/bayglade/diagnosis.py
+++ b/bayglade/diagnosis.py
@@ -152,7 +152,11 @@
             dark = []
         dead = [*gone, *dark]
         for server in dead:
-            if not server.suspect and self.fleet.suspect(server, "silent") and self.on_dead is not None:
+            if (
+                not server.suspect
+                and self.fleet.mark_suspect(server, "silent")
+                and self.on_dead is not None
+            ):
                 self.on_dead(server)
         return frozenset(server.facts.id for server in dead)
 
@@ -176,7 +180,7 @@
             report = findings[server.facts.id].report
             if report is None or not server.suspect or not _as_listed(server, report):
                 continue
-            self.fleet.trust(server, "answers again")
+            self.fleet.clear_suspicion(server, "answers again")
             if self.on_back is not None:
                 self.on_back(server)
 
@@ -223,7 +227,7 @@
         facts, asked_at = server.facts, now()
         try:
             report = self._report(facts.id, facts.address)
-            if report is not None and not self.fleet.reported(
+            if report is not None and not self.fleet.accept_report(
                 server, report.incarnation, report.first, report.last
             ):
                 report = None
@@ -233,10 +237,10 @@
             if report is not None:
                 self.on_answer(server, asked_at)
                 if report.leaving:
-                    self.fleet.said_leaving(server, "its report")
+                    self.fleet.announce_leaving(server, "its report")
                 if report.rate_limit is not None:
                     self.fleet.rate_limits.answered(server, report.rate_limit, asked_at, "a report")
-                self.fleet.pace(server, report.pace)
+                self.fleet.update_pace(server, report.pace)
         finally:
             if self.asking.get(facts.id) is eventlet.getcurrent():
                 del self.asking[facts.id]
--- a/bayglade/fleet.py
+++ b/bayglade/fleet.py
@@ -15,18 +15,18 @@
 SUSPECT_SECONDS = 1.0
 """First time that a server which failed gets nothing; doubled at each failure in a row."""
 MAX_SUSPECT_SECONDS = 8.0
-MAX_SUSPECT_PART = 0.5
+MAX_SUSPECT_FRACTION = 0.5
 """Part of a service's servers that may be suspect at once: a common cause must not take all."""
-PACE_STEP = 0.2
+MIN_PACE_CHANGE = 0.2
 """Changes of a server's pace below this are noise."""
-LAPSE_GRACE = 1.9
+LAPSE_GRACE_SECONDS = 1.9
 """Seconds after the store's return in which a missing entry may come back: the users say two,
 and work that goes to a server that is gone must end by then."""
 
 DEFAULT_EXPIRY_SECONDS = 4.6
 """Three heartbeats of a server, and a second for the removal of its entry to be known."""
 
-MAX_KNOWN_STARTS = 10_000
+MAX_KNOWN_INCARNATIONS = 10_000
 """Servers whose newest start is remembered, those that are gone among them: several times as many as
 the largest fleet has."""
 
@@ -42,7 +42,7 @@
         self.servers: dict[BackendId, Server] = {}
         self.by_service: dict[ServiceName, list[Server]] = {}
         self.lapsed: set[BackendId] = set()
-        self.starts: dict[BackendId, Incarnation] = {}
+        self.newest_incarnations: dict[BackendId, Incarnation] = {}
         """The newest start known of each server, also of those that are gone."""
 
         self.tombstones = Tombstones()
@@ -57,57 +57,57 @@
         self.on_unlisted: Callable[[Server], None] = lambda server: None
         """Told of each server that is no longer listed and did not say that it leaves; it may serve on."""
 
-        self.on_said_leaving: Callable[[Server], None] = lambda server: None
+        self.on_leaving_announced: Callable[[Server], None] = lambda server: None
         """Told of each server that said in an answer that it leaves."""
 
-        self.grown_at = 0.0
+        self.last_added_at = 0.0
         """When a server was listed that was not known before."""
 
-        self.changed = 0
+        self.change_count = 0
         """Grows with each change that may make another path better."""
 
     def __repr__(self) -> str:
         return f"<Fleet {len(self.servers)} servers>"
 
-    def of(self, service: ServiceName) -> list[Server]:
+    def of_service(self, service: ServiceName) -> list[Server]:
         """List the servers of a service."""
         return self.by_service.get(service, [])
 
     def usable(self, service: ServiceName) -> list[Server]:
         """List the servers of a service that may get new work."""
         at = now()
-        return [server for server in self.of(service) if server.usable(at)]
+        return [server for server in self.of_service(service) if server.usable(at)]
 
-    def sound(self, service: ServiceName) -> list[Server]:
+    def healthy(self, service: ServiceName) -> list[Server]:
         """List the servers of a service that may get new work, or could but for their rest or limit."""
         at = now()
-        return [server for server in self.of(service) if server.sound(at)]
+        return [server for server in self.of_service(service) if server.sound(at)]
 
-    def opens_in(self, service: ServiceName) -> float | None:
+    def seconds_until_available(self, service: ServiceName) -> float | None:
         """Return when the first server takes a request that takes none now for its rest or its limit.
 
         :return: seconds; nothing when that is not what keeps requests from servers.
         """
         at = now()
-        ends = [server.opens_at(at) - at for server in self.sound(service)]
+        ends = [server.opens_at(at) - at for server in self.healthy(service)]
         return min((seconds for seconds in ends if 0.0 < seconds < math.inf), default=None)
 
-    def take(
+    def apply_changes(
         self,
         listed: Iterable[ServerFacts],
         gone: Iterable[BackendId],
         outage: bool,
-        strange: Mapping[BackendId, str] | None = None,
+        invalid: Mapping[BackendId, str] | None = None,
     ) -> None:
         """Take in news of the list.
 
         :param listed: servers that are new or changed.
         :param gone: entries that were removed.
         :param outage: whether the store was away just now, so that entries lapsed of themselves.
-        :param strange: entries that no server wrote, with what is wrong: such an entry names no server
+        :param invalid: entries that no server wrote, with what is wrong: such an entry names no server
             to use, and what runs on the server whose entry it was may end there.
         """
-        for backend, reason in (strange or {}).items():
+        for backend, reason in (invalid or {}).items():
             self._exclude(backend, reason)
         for facts in listed:
             self._list(facts)
@@ -115,27 +115,27 @@
             self._unlist(backend, outage)
         self._rebuild()
 
-    def replace(
+    def apply_snapshot(
         self,
         listed: Iterable[ServerFacts],
         outage: bool,
-        strange: Mapping[BackendId, str] | None = None,
+        invalid: Mapping[BackendId, str] | None = None,
         restored: bool = False,
     ) -> None:
         """Take in the whole list.
 
         :param listed: all entries.
         :param outage: whether the store was away just now.
-        :param strange: entries that no server wrote, with what is wrong.
+        :param invalid: entries that no server wrote, with what is wrong.
         :param restored: whether the list is of a store that came back from an older copy.
         """
         entries = list(listed)
         for facts in entries if restored else ():
             self._add_unconfirmed(facts)
-        missing = self.servers.keys() - {facts.id for facts in entries} - (strange or {}).keys()
-        self.take(entries, missing, outage, strange)
+        missing = self.servers.keys() - {facts.id for facts in entries} - (invalid or {}).keys()
+        self.apply_changes(entries, missing, outage, invalid)
 
-    def reported(self, server: Server, incarnation: Incarnation, first: int, last: int) -> bool:
+    def accept_report(self, server: Server, incarnation: Incarnation, first: int, last: int) -> bool:
         """Take in which start of a server a report comes from, and what that holds.
 
         :param server: the server that was asked.
@@ -161,7 +161,7 @@
         self._rebuild()
         return False
 
-    def current(self, key: ServerKey) -> Server | None:
+    def find_current(self, key: ServerKey) -> Server | None:
         """Return a server if word of it is of its present start.
 
         :param key: the start that another daemon tells of.
@@ -169,7 +169,7 @@
         server = self.servers.get(key.backend)
         return server if server is not None and server.facts.key == key else None
 
-    def superseded(self, key: ServerKey) -> Server | None:
+    def find_superseded(self, key: ServerKey) -> Server | None:
         """Return a server if word of it is of a later start than the one known here.
 
         :param key: the start that another daemon tells of.
@@ -185,7 +185,7 @@
         if lapsed:
             self._rebuild()
 
-    def suspect(self, server: Server, reason: str) -> bool:
+    def mark_suspect(self, server: Server, reason: str) -> bool:
         """Give a server nothing for a while, unless too many are suspect already.
 
         :param server: the server that failed.
@@ -194,9 +194,9 @@
         """
         at = now()
         server.failures += 1
-        peers = self.of(server.facts.service)
+        peers = self.of_service(server.facts.service)
         others = sum(1 for peer in peers if not peer.sound(at) and peer is not server)
-        if others + 1 > max(1.0, len(peers) * MAX_SUSPECT_PART):
+        if others + 1 > max(1.0, len(peers) * MAX_SUSPECT_FRACTION):
             return False
         if server.facts.held:
             if not server.suspect:
@@ -205,34 +205,34 @@
         else:
             seconds = min(MAX_SUSPECT_SECONDS, SUSPECT_SECONDS * 2.0 ** (server.failures - 1))
             server.suspect_until = at + seconds
-        self.changed += 1
+        self.change_count += 1
         event("WARNING", "server suspect", peer=server.facts.id, reason=reason, failures=server.failures)
         return True
 
-    def trust(self, server: Server, reason: str) -> None:
+    def clear_suspicion(self, server: Server, reason: str) -> None:
         """End the suspicion of a server."""
         server.suspect = False
         server.refused = False
         server.suspect_until = 0.0
-        self.changed += 1
+        self.change_count += 1
         event("INFO", "server trusted", peer=server.facts.id, reason=reason)
 
-    def pace(self, server: Server, pace: float) -> None:
+    def update_pace(self, server: Server, pace: float) -> None:
         """Note how slow a server says it is; a clear change makes other paths better."""
-        if abs(pace - server.pace) > PACE_STEP:
+        if abs(pace - server.pace) > MIN_PACE_CHANGE:
             event("INFO", "server pace", peer=server.facts.id, before=server.pace, pace=pace)
             server.pace = pace
-            self.changed += 1
+            self.change_count += 1
 
     def mark_leaving(self, server: Server, reason: str) -> None:
         """Give a server nothing more: it said itself that it leaves, or another took its address."""
         if server.leaving:
             return
         server.leaving = True
-        self.changed += 1
+        self.change_count += 1
         event("INFO", "server leaving", peer=server.facts.id, reason=reason)
 
-    def said_leaving(self, server: Server, source: str) -> None:
+    def announce_leaving(self, server: Server, source: str) -> None:
         """Give a server nothing more, and have others told: it said in an answer that it leaves.
 
         :param server: the start of the server that said so.
@@ -240,9 +240,9 @@
         """
         if not server.leaving:
             self.mark_leaving(server, source)
-            self.on_said_leaving(server)
+            self.on_leaving_announced(server)
 
-    def rest(self, server: Server, seconds: float) -> None:
+    def set_rest(self, server: Server, seconds: float) -> None:
         """Give a server nothing for as long as it asked for.
 
         A server that refuses has the least under way, and would be chosen again at once.
@@ -256,13 +256,13 @@
             server.rest_until = until
             event("INFO", "server rests", peer=server.facts.id, seconds=seconds)
 
-    def succeeded(self, server: Server) -> None:
+    def record_success(self, server: Server) -> None:
         """Note a whole answer."""
         server.failures = 0
         server.refused = False
 
     def _list(self, facts: ServerFacts) -> None:
-        newest = self.starts.get(facts.id, UNKNOWN_INCARNATION)
+        newest = self.newest_incarnations.get(facts.id, UNKNOWN_INCARNATION)
         if facts.incarnation == UNKNOWN_INCARNATION < newest:
             self._exclude(facts.id, "it does not say when it started, and did before")
             return
@@ -291,7 +291,7 @@
         server.leaving = server.leaving or facts.leaving
         if server.suspect and (facts.first, facts.last) != (server.facts.first, server.facts.last):
             # It writes its row itself, so it lives and holds what that says.
-            self.trust(server, "its row has changed")
+            self.clear_suspicion(server, "its row has changed")
         if facts.writes > server.facts.writes:
             server.unconfirmed_until = 0.0
         server.facts = facts
@@ -308,14 +308,14 @@
         server = Server(facts)
         self.tombstones.restore(server)
         self.servers[facts.id] = server
-        self.grown_at = now()
+        self.last_added_at = now()
         if facts.incarnation == UNKNOWN_INCARNATION:
             return
-        self.starts.pop(facts.id, None)
-        self.starts[facts.id] = facts.incarnation
-        if len(self.starts) > MAX_KNOWN_STARTS:
-            gone = (backend for backend in self.starts if backend not in self.servers)
-            self.starts.pop(next(gone, facts.id))
+        self.newest_incarnations.pop(facts.id, None)
+        self.newest_incarnations[facts.id] = facts.incarnation
+        if len(self.newest_incarnations) > MAX_KNOWN_INCARNATIONS:
+            gone = (backend for backend in self.newest_incarnations if backend not in self.servers)
+            self.newest_incarnations.pop(next(gone, facts.id))
 
     def _restart(self, before: Server, facts: ServerFacts, source: str) -> None:
         """Put a server that started again in the place of its earlier start, which is dead."""
@@ -324,7 +324,7 @@
         if not before.leaving:
             self.on_ended(before.facts.key)
         self._add(facts)
-        self.changed += 1
+        self.change_count += 1
         event(
             "INFO",
             "server started again",
@@ -341,7 +341,7 @@
         server = self.servers.get(backend)
         if server is not None and server.excluded is None:
             server.excluded, server.excluded_at = reason, now()
-            self.changed += 1
+            self.change_count += 1
             event("WARNING", "server excluded", peer=backend, reason=reason)
 
     def _unlist(self, backend: BackendId, outage: bool) -> None:
@@ -364,7 +364,7 @@
             event("INFO", "server gone", peer=backend)
 
     def _rebuild(self) -> None:
-        self.changed += 1
+        self.change_count += 1
         self.by_service = {}
         for server in self.servers.values():
             self.by_service.setdefault(server.facts.service, []).append(server)
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -116,7 +116,7 @@
             self.store,
             platform.SERVERS_TABLE,
             wait_within(servers_bound),
-            self.listing.take,
+            self.listing.apply_changes,
             gather_within(servers_bound),
             self.history,
         )
--- a/bayglade/listing.py
+++ b/bayglade/listing.py
@@ -9,7 +9,7 @@
 from bayglade.clock import now
 from bayglade.exceptions import InvalidSettings
 from bayglade.feeds import Feed
-from bayglade.fleet import LAPSE_GRACE, Fleet
+from bayglade.fleet import LAPSE_GRACE_SECONDS, Fleet
 from bayglade.ids import BackendId
 from bayglade.logs import event
 from bayglade.metrics import Metrics
@@ -52,7 +52,7 @@
     def __repr__(self) -> str:
         return f"<Listing of {self.fleet!r}>"
 
-    def take(self, changes: Changes, whole: bool) -> None:
+    def apply_changes(self, changes: Changes, whole: bool) -> None:
         """Take in rows.
 
         :param changes: rows that changed; nothing for those that were removed.
@@ -76,9 +76,9 @@
         outage = self._grace_left() > 0
         before, self.position = self.position, changes.position
         if whole:
-            self.fleet.replace(listed, outage, strange, was_restored(before, changes.position))
+            self.fleet.apply_snapshot(listed, outage, strange, was_restored(before, changes.position))
         else:
-            self.fleet.take(listed, gone, outage, strange)
+            self.fleet.apply_changes(listed, gone, outage, strange)
         if self.fleet.lapsed:
             eventlet.spawn_after(max(0.0, self._grace_left()), self._drop_lapsed)
 
@@ -97,7 +97,7 @@
 
     def _grace_left(self) -> float:
         """Return for how long entries that lapsed in an outage may still come back."""
-        return self.feed.recovered_at + LAPSE_GRACE - now()
+        return self.feed.recovered_at + LAPSE_GRACE_SECONDS - now()
 
     def _drop_lapsed(self) -> None:
         # The store may be lost again by now, and then back later.
--- a/bayglade/loading.py
+++ b/bayglade/loading.py
@@ -131,7 +131,7 @@
         :raises PlatformUnavailable: when the lease cannot be read or written.
         """
         pipelines = self.pipelines()
-        state = (self.fleet.changed, pipelines)
+        state = (self.fleet.change_count, pipelines)
         if state == self.complete_state:
             return True
         for service, pipeline in pipelines.items():
@@ -174,7 +174,9 @@
         :return: spans by server, without those that are already ordered.
         """
         at = now()
-        servers = [s for s in self.fleet.of(service) if s.placed(at) and s.facts.last <= pipeline.layers]
+        servers = [
+            s for s in self.fleet.of_service(service) if s.placed(at) and s.facts.last <= pipeline.layers
+        ]
         excluded = {s.facts.id for s in servers if s.excluded is not None}
         expected = [self._with_pending_order(s.facts, at) for s in servers]
         wanted: Spans = {}
@@ -227,7 +229,7 @@
         return tile_group(group, pipeline, self.pair_servers)
 
     def _settled(self, at: float) -> bool:
-        return at - self.fleet.grown_at > LAYOUT_DELAY
+        return at - self.fleet.last_added_at > LAYOUT_DELAY
 
     def _with_pending_order(self, facts: ServerFacts, at: float) -> ServerFacts:
         """Return the facts of a server as they will be once its pending order is carried out."""
@@ -250,7 +252,7 @@
         report = self.control.report(backend, address, REPORT_TIMEOUT)
         if report is None:
             return
-        if not self.fleet.reported(server, report.incarnation, report.first, report.last):
+        if not self.fleet.accept_report(server, report.incarnation, report.first, report.last):
             event("INFO", "order withheld", peer=backend, start=report.incarnation)
             return
         if report.loading:
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -105,7 +105,7 @@
     def _want(self, service: ServiceName) -> None:
         """Have requests lent to the servers that name a limit, those of the own hall before others."""
         at = now()
-        limited = [s for s in self.fleet.of(service) if s.throttle is not None and s.sound(at)]
+        limited = [s for s in self.fleet.of_service(service) if s.throttle is not None and s.sound(at)]
         near = [server for server in limited if server.facts.hall == self.hall]
         self.fleet.rate_limits.want(near or limited)
 
@@ -144,7 +144,7 @@
         at = now()
         servers = [
             server
-            for server in self.fleet.sound(service)
+            for server in self.fleet.healthy(service)
             if server.facts.id not in without and _may_lead(server, heads)
         ]
 
@@ -192,7 +192,7 @@
         self._want(service)
         usable = [
             s
-            for s in self.fleet.sound(service)
+            for s in self.fleet.healthy(service)
             # A stage that takes nothing new goes on with what it runs.
             if s.facts.id not in without and s is not head and (s.opens_at(at) <= at or s in path.servers)
         ]
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -244,7 +244,7 @@
     if seconds <= 0:
         return
     for start in peers.quarantine.unsure_of(call):
-        if (server := peers.fleet.current(start)) is not None:
+        if (server := peers.fleet.find_current(start)) is not None:
             eventlet.spawn_n(look_at, peers, server)
     _gather(min(seconds, max(0.0, call.seconds_left())))
 
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -163,8 +163,8 @@
     A stream that cannot be moved stays: such a stage serves on for a while. One for which there is no way
     round looks again: left on its stage to the end, all streams there would seek room at the same moment.
     """
-    if run.fleet_seen != peers.fleet.changed:
-        run.fleet_seen = peers.fleet.changed
+    if run.fleet_seen != peers.fleet.change_count:
+        run.fleet_seen = peers.fleet.change_count
         if run.leave_at is None and _leaving(run):
             run.leave_at = now() + peers.rng.uniform(0.0, LEAVE_SPREAD_SECONDS)
     if run.leave_at is None or now() < run.leave_at or Mechanism.LEAVE_PLANNED in peers.without:
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -142,9 +142,9 @@
     :param sent_at: when the request went out, in monotonic seconds.
     """
     if head.leaving:
-        peers.fleet.said_leaving(server, "its answer")
+        peers.fleet.announce_leaving(server, "its answer")
     if head.rest_seconds is not None:
-        peers.fleet.rest(server, head.rest_seconds)
+        peers.fleet.set_rest(server, head.rest_seconds)
     if head.rate_limit is not None or head.genuine:
         # Only what the server vouches for shows that it names no limit any more.
         peers.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
--- a/bayglade/spreading.py
+++ b/bayglade/spreading.py
@@ -69,7 +69,7 @@
         quarantine.on_proven = self._tell_proven
         quarantine.on_break = self._tell_break
         fleet.rate_limits.on_news = self._tell_limits
-        fleet.on_said_leaving = self._tell_leaving
+        fleet.on_leaving_announced = self._tell_leaving
         self.dead = Reports()
         self.back = Reports()
         diagnosis.on_dead = self._found_dead
@@ -136,7 +136,7 @@
 
         :param starts: the starts that another daemon tells of.
         """
-        later = [server for key in starts if (server := self.fleet.superseded(key)) is not None]
+        later = [server for key in starts if (server := self.fleet.find_superseded(key)) is not None]
         if later:
             eventlet.spawn_n(self.diagnosis.examine, later)
 
@@ -145,7 +145,7 @@
 
         Nothing takes it back but a new start, so it is passed on once and dies out.
         """
-        server = self.fleet.current(key)
+        server = self.fleet.find_current(key)
         if server is None or server.leaving:
             return False
         self.fleet.mark_leaving(server, "others were told so")
@@ -158,7 +158,7 @@
         self.tell(Findings(limits=limits), None)
 
     def _present(self, finding: Finding) -> bool:
-        return self.fleet.current(finding.key) is not None
+        return self.fleet.find_current(finding.key) is not None
 
     def _found_dead(self, server: Server) -> None:
         self.back.forget(server.facts.id)
@@ -182,7 +182,7 @@
         for server in told:
             self.back.forget(server.facts.id)
             if self.dead.enough(server.facts.id):
-                self.fleet.suspect(server, "others found it silent")
+                self.fleet.mark_suspect(server, "others found it silent")
         likely = LOOKERS / self.daemons()
         looked_at = [server for server in told if not server.suspect and self.rng.random() < likely]
         if looked_at:
@@ -193,4 +193,4 @@
         known = self.fleet.servers
         for server in [known[b] for b in backends if b in known and known[b].suspect]:
             self.dead.forget(server.facts.id)
-            self.fleet.trust(server, "answers others again")
+            self.fleet.clear_suspicion(server, "answers others again")
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -262,7 +262,7 @@
 
 def _limited_seconds(peers: Peers, call: Call) -> float:
     """Return how long a new stream waits where all first stages name limits; zero where one does not."""
-    heads = [s for s in peers.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
+    heads = [s for s in peers.fleet.healthy(call.service) if s.facts.held and s.facts.first == 0]
     ahead = peers.wait_queues.ahead(call.service)
     return peers.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
 
@@ -336,7 +336,7 @@
         run.was_read()
         exchange.close(keep_seconds)
     for server in run.path.servers:
-        peers.fleet.succeeded(server)
+        peers.fleet.record_success(server)
 
 
 def _await_head(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> tuple[Message, AnswerHead]:
@@ -428,7 +428,7 @@
         server.short_until = now() + SHORT_SECONDS
         if server is not head:
             if error.rest_seconds is not None:
-                peers.fleet.rest(server, error.rest_seconds)
+                peers.fleet.set_rest(server, error.rest_seconds)
             # The head says which stage did not take part, not why: one that is dead has to be known.
             eventlet.spawn_n(peers.diagnosis.examine, [server])
         return frozenset({server.facts.id})
@@ -437,7 +437,7 @@
     if not isinstance(error, BackendUnreachable):
         blame(peers, call, run, head)
     if isinstance(error, BackendUnreachable):
-        peers.fleet.suspect(head, error.code)
+        peers.fleet.mark_suspect(head, error.code)
     elif not head.suspect:
         # A server that ends breaks its connections off: others have to know before they find out.
         eventlet.spawn_n(peers.diagnosis.examine_anew, [head])
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -102,13 +102,13 @@
     in_turn = not peers.wait_queues.busy(call.service)
     if in_turn and (place := seek()) is not None:
         return place
-    servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
+    servers = [s for s in peers.fleet.healthy(call.service) if s.facts.id not in attempts.tried]
     expected = peers.fleet.rate_limits.expected_wait(servers, peers.wait_queues.ahead(call.service))
     if expected is None and not in_turn and (place := seek()) is not None:
         # Those that wait are about to be let go: there is a server without a limit.
         return place
     if expected is None:
-        attempts.full_for = peers.fleet.opens_in(call.service)
+        attempts.full_for = peers.fleet.seconds_until_available(call.service)
         return None
     # Later it could not be answered before its deadline.
     until = min(call.deadline - call.endpoint.aim, call.arrived + WAIT_SECONDS)
@@ -143,7 +143,7 @@
         server.in_flight -= 1
         place.release()
     if message.status < 500:
-        peers.fleet.succeeded(server)
+        peers.fleet.record_success(server)
     return Answer(message, b"".join(pieces))
 
 
@@ -159,7 +159,7 @@
 def _least_busy(peers: Peers, call: Call, attempts: Attempts) -> Server | None:
     """Choose a server that was not tried, the least busy by this daemon's own count."""
     at = now()
-    servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
+    servers = [s for s in peers.fleet.healthy(call.service) if s.facts.id not in attempts.tried]
     peers.fleet.rate_limits.want(servers)
     fitting = [server for server in servers if server.opens_at(at) <= at]
     if not fitting or attempts.only() is not None:
@@ -198,7 +198,7 @@
         return
     if not isinstance(error, BackendUnreachable):
         _note_break(peers, call, server, error)
-    peers.fleet.suspect(server, error.code)
+    peers.fleet.mark_suspect(server, error.code)
 
 
 def _note_break(peers: Peers, call: Call, server: Server, error: BackendError) -> None:
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -63,7 +63,7 @@
         self.model = pipeline()
         self.fleet = Fleet()
         held = placed(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
-        self.fleet.take([server.facts for server in held], [], outage=False)
+        self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.budget = RetryBudget(floor=100.0)
         self.wait_queues = WaitQueues(Usage(), lambda group: (0, 1.0))
         self.tasks = [eventlet.spawn(self.wait_queues.run)]
@@ -115,12 +115,12 @@
 
     def fill(self, tokens: float = FULL) -> None:
         """Fill all servers, or empty them with less than nothing."""
-        for server in self.fleet.of(SERVICE):
+        for server in self.fleet.of_service(SERVICE):
             server.cached += tokens
 
     def unload(self, reason: str | None = "not loaded yet") -> None:
         """Have no server hold layers, or each its own again."""
-        for server in self.fleet.of(SERVICE):
+        for server in self.fleet.of_service(SERVICE):
             server.excluded = reason
 
     def call(self, seconds: float = 10.0, group: str = "g") -> Any:
@@ -163,7 +163,7 @@
 
     def at_rest(self) -> bool:
         """Tell whether all places were given back, and nobody waits."""
-        taken = any(server.cached or server.in_flight for server in self.fleet.of(SERVICE))
+        taken = any(server.cached or server.in_flight for server in self.fleet.of_service(SERVICE))
         return not taken and not self.wait_queues.waiting()
 
     def stop(self) -> None:
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -83,7 +83,7 @@
         )
         for n in range(count)
     ]
-    fleet.take(facts, [], False)
+    fleet.apply_changes(facts, [], False)
     stages = Stages(silent)
     return Diagnosis(fleet, stages, random.Random(1)), stages, list(fleet.servers.values())  # type: ignore[arg-type]
 
@@ -173,7 +173,7 @@
 
 def test_a_slow_stage_is_asked_again_until_it_is_quick(monkeypatch: pytest.MonkeyPatch) -> None:
     diagnosis, stages, servers = diagnose(set())
-    diagnosis.fleet.pace(servers[2], 12.0)
+    diagnosis.fleet.update_pace(servers[2], 12.0)
     rounds = iter(range(3))
 
     def sleep(seconds: float) -> None:
@@ -304,7 +304,7 @@
     diagnosis.look_again([server])
     assert server.suspect
     empty = msgspec.structs.replace(server.facts, first=0, last=0)
-    diagnosis.fleet.take([empty], [], False)
+    diagnosis.fleet.apply_changes([empty], [], False)
     assert not server.suspect
     assert not server.facts.held
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.fleet = Fleet()
-        self.fleet.take([FACTS], [], outage=False)
+        self.fleet.apply_changes([FACTS], [], outage=False)
         self.reached = True
         self.links: Any = SimpleNamespace(probe=lambda backend, address: self.reached)
         self.diagnosis: Any = SimpleNamespace()
@@ -73,20 +73,20 @@
 
 def test_a_later_start_shows_it(scene: Scene) -> None:
     again = msgspec.structs.replace(FACTS, incarnation=Incarnation(6))
-    scene.fleet.take([again], [], outage=False)
+    scene.fleet.apply_changes([again], [], outage=False)
     assert scene.ended()
 
 
 @pytest.mark.parametrize("reached", [True, False])
 def test_an_entry_that_is_gone_shows_it_unless_it_is_reached(scene: Scene, reached: bool) -> None:
     scene.reached = reached
-    scene.fleet.take([], [FACTS.id], outage=False)
+    scene.fleet.apply_changes([], [FACTS.id], outage=False)
     assert scene.ended() is not reached
 
 
 def test_an_entry_that_lapsed_in_an_outage_shows_nothing(scene: Scene) -> None:
     scene.reached = False
-    scene.fleet.take([], [FACTS.id], outage=True)
+    scene.fleet.apply_changes([], [FACTS.id], outage=True)
     assert not scene.ended()
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -77,7 +77,7 @@
 
 def two_servers() -> Fleet:
     fleet = Fleet()
-    fleet.take([facts_of("s"), facts_of("other")], [], outage=False)
+    fleet.apply_changes([facts_of("s"), facts_of("other")], [], outage=False)
     return fleet
 
 
@@ -88,12 +88,12 @@
 def test_a_server_whose_entry_is_strange_gets_no_new_work_until_its_own_is_back() -> None:
     fleet = two_servers()
     server = fleet.servers[BackendId("s")]
-    fleet.take([], [], outage=False, strange={BackendId("s"): "slots as text"})
+    fleet.apply_changes([], [], outage=False, invalid={BackendId("s"): "slots as text"})
     assert usable(fleet) == {"other"}
     # What runs there is let end.
     assert not server.leaving
     assert not server.suspect
-    fleet.take([facts_of("s")], [], outage=False)
+    fleet.apply_changes([facts_of("s")], [], outage=False)
     assert usable(fleet) == {"s", "other"}
     assert fleet.servers[BackendId("s")] is server
 
@@ -101,26 +101,26 @@
 def test_a_strange_entry_in_the_whole_list_drops_nobody() -> None:
     fleet = two_servers()
     server = fleet.servers[BackendId("s")]
-    fleet.replace([facts_of("other")], outage=False, strange={BackendId("s"): "cannot be read"})
+    fleet.apply_snapshot([facts_of("other")], outage=False, invalid={BackendId("s"): "cannot be read"})
     assert usable(fleet) == {"other"}
     assert fleet.servers[BackendId("s")] is server
 
 
 def test_a_strange_entry_of_nobody_known_lists_nobody() -> None:
     fleet = two_servers()
-    fleet.take([], [], outage=False, strange={BackendId("new"): "cannot be read"})
+    fleet.apply_changes([], [], outage=False, invalid={BackendId("new"): "cannot be read"})
     assert set(fleet.servers) == {"s", "other"}
 
 
 def test_an_entry_that_lost_its_start_is_strange() -> None:
     fleet = two_servers()
-    fleet.take([decode_server("s", packed(without("born")))], [], outage=False)
+    fleet.apply_changes([decode_server("s", packed(without("born")))], [], outage=False)
     assert usable(fleet) == {"other"}
 
 
 def test_an_entry_without_a_start_is_used_where_none_ever_had_one() -> None:
     fleet = Fleet()
-    fleet.take([decode_server("s", packed(without("born")))], [], outage=False)
+    fleet.apply_changes([decode_server("s", packed(without("born")))], [], outage=False)
     assert usable(fleet) == {"s"}
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -37,13 +37,13 @@
 
 def listed(**changes: Any) -> Fleet:
     fleet = Fleet()
-    fleet.take([facts_of(**changes)], [], outage=False)
+    fleet.apply_changes([facts_of(**changes)], [], outage=False)
     return fleet
 
 
 def again(fleet: Fleet, born: int = LATER, outage: bool = False, **changes: Any) -> Server:
     """Have the server's row say that it started at another time, by default empty."""
-    fleet.take([facts_of(born=born, **{"layers": None, **changes})], [], outage)
+    fleet.apply_changes([facts_of(born=born, **{"layers": None, **changes})], [], outage)
     return fleet.servers[ID]
 
 
@@ -57,7 +57,7 @@
     before = fleet.servers[ID]
     before.in_flight, before.cached, before.failures, before.pace = 5, 900.0, 3, 12.0
     before.short_until = 1e9
-    fleet.suspect(before, "silent")
+    fleet.mark_suspect(before, "silent")
     after = again(fleet)
     assert after is not before
     assert (after.in_flight, after.cached, after.failures, after.pace) == (0, 0.0, 0, 1.0)
@@ -79,9 +79,9 @@
     after = again(fleet)
     late = [facts_of(state="draining")]
     if whole:
-        fleet.replace(late, outage)
+        fleet.apply_snapshot(late, outage)
     else:
-        fleet.take(late, [], outage)
+        fleet.apply_changes(late, [], outage)
     assert fleet.servers[ID] is after
     assert not after.leaving
 
@@ -89,21 +89,21 @@
 def test_an_older_start_does_not_come_back_after_the_newer_one_has_gone() -> None:
     fleet = listed()
     again(fleet)
-    fleet.take([], [ID], outage=False)
-    fleet.take([facts_of()], [], outage=False)
+    fleet.apply_changes([], [ID], outage=False)
+    fleet.apply_changes([facts_of()], [], outage=False)
     assert fleet.servers == {}
     assert again(fleet, LATER + 1).usable(0.0)
 
 
 def test_twice_in_a_row_and_both_rows_at_once() -> None:
     fleet = listed()
-    fleet.take([facts_of(born=LATER + 1), facts_of(born=LATER)], [], outage=False)
+    fleet.apply_changes([facts_of(born=LATER + 1), facts_of(born=LATER)], [], outage=False)
     assert fleet.servers[ID].facts.incarnation == LATER + 1
 
 
 def test_a_start_that_lapsed_in_an_outage_is_not_missed() -> None:
     fleet = listed()
-    fleet.take([], [ID], outage=True)
+    fleet.apply_changes([], [ID], outage=True)
     after = again(fleet, outage=True)
     fleet.drop_lapsed()
     assert fleet.servers == {ID: after}
@@ -138,7 +138,7 @@
     assert (after.facts.incarnation, after.facts.held) == (LATER, 0)
     assert before.ended(0.0)
     # Its row, which is late, changes nothing.
-    fleet.take([facts_of()], [], outage=False)
+    fleet.apply_changes([facts_of()], [], outage=False)
     assert fleet.servers[ID] is after
 
 
@@ -232,7 +232,7 @@
     lease: Any = SimpleNamespace(
         acquire_or_renew=lambda: True, seconds_left=lambda: 9.0, release=lambda: None
     )
-    fleet.grown_at = 0.0
+    fleet.last_added_at = 0.0
     metrics: Any = create_metrics(None, "d")  # type: ignore[arg-type]
     model = {SERVICE: pipeline()}
     return Loader(fleet, control, lease, lambda: model, metrics, random.Random(1)), placed
@@ -241,7 +241,7 @@
 def one_of_a_hall() -> tuple[Fleet, Server]:
     fleet = Fleet()
     facts = [msgspec.structs.replace(each, incarnation=Incarnation(BORN)) for each in servers(a={"big": 8})]
-    fleet.take(facts, [], outage=False)
+    fleet.apply_changes(facts, [], outage=False)
     return fleet, fleet.servers[facts[0].id]
 
 
@@ -250,7 +250,7 @@
     loader, _ = loader_of(fleet, lambda *_: None, monkeypatch)
     loader.pending_orders[server.facts.id] = PendingOrder(Span(0, 9), 99.0)
     facts = msgspec.structs.replace(server.facts, incarnation=Incarnation(LATER))
-    fleet.take([facts], [], outage=False)
+    fleet.apply_changes([facts], [], outage=False)
     assert loader._with_pending_order(facts, 100.0).held == 0
 
 
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -22,8 +22,8 @@
         self.looks = 0
         self.left = 0.0
         fleet = Fleet()
-        fleet.take(servers(a={"big": 3, "middle": 3, "small": 5}), [], outage=False)
-        fleet.grown_at = 0.0
+        fleet.apply_changes(servers(a={"big": 3, "middle": 3, "small": 5}), [], outage=False)
+        fleet.last_added_at = 0.0
         lease: Any = SimpleNamespace(
             acquire_or_renew=self._keep, seconds_left=lambda: self.left, release=lambda: None
         )
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -41,7 +41,7 @@
         self.model = model_with_pipes()
         self.fleet = Fleet()
         held = placed(servers(**(halls or TWO_HALLS)), self.model)
-        self.fleet.take([server.facts for server in held], [], outage=False)
+        self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.paths = Paths(self.fleet, HallName(hall))
 
     def choose(self, demand: Demand = USUAL, without: frozenset[BackendId] = frozenset()) -> Path | None:
@@ -68,7 +68,7 @@
     # More than the chain of the quickest servers has room for.
     for _ in range(80):
         site.serve()
-    holders = [s for s in site.fleet.of(SERVICE) if s.facts.held]
+    holders = [s for s in site.fleet.of_service(SERVICE) if s.facts.held]
     used = [s for s in holders if s.cached]
     assert len(used) == len(holders)
     for server in holders:
@@ -86,7 +86,7 @@
         assert server.cached == USUAL.cached * (stage.last - stage.first)
     assert [s.in_flight for s in path.servers] == [1, *[0] * (len(path.servers) - 1)]
     path.release()
-    assert all(s.cached == 0 and s.in_flight == 0 for s in site.fleet.of(SERVICE))
+    assert all(s.cached == 0 and s.in_flight == 0 for s in site.fleet.of_service(SERVICE))
 
 
 def test_no_server_is_filled_beyond_its_cache_and_a_full_fleet_has_no_path() -> None:
@@ -97,7 +97,7 @@
         served += 1
         assert served < 1000
     assert served > 100
-    assert all(site.use(s) <= MOST_USE for s in site.fleet.of(SERVICE) if s.facts.held)
+    assert all(site.use(s) <= MOST_USE for s in site.fleet.of_service(SERVICE) if s.facts.held)
     assert site.paths.covered_in(SERVICE, site.model) == 0.0
 
 
@@ -156,14 +156,14 @@
     lost = [
         next(
             s
-            for s in site.fleet.of(SERVICE)
+            for s in site.fleet.of_service(SERVICE)
             if s.facts.hall == hall and s.facts.first <= layer < s.facts.last
         )
         for hall, layer in (("a", 20), ("b", 60))
     ]
     twins = {
         s.facts.id
-        for s in site.fleet.of(SERVICE)
+        for s in site.fleet.of_service(SERVICE)
         for gone in lost
         if s.facts.hall == gone.facts.hall
         and s.facts.first < gone.facts.last
@@ -181,7 +181,7 @@
     path = site.choose()
     assert path is not None
     slow = path.servers[2]
-    site.fleet.pace(slow, 40.0)
+    site.fleet.update_pace(slow, 40.0)
     other = site.choose()
     assert other is not None
     assert slow not in other.servers
@@ -202,7 +202,7 @@
         assert server not in detour.servers
         others = [
             s
-            for s in site.fleet.of(SERVICE)
+            for s in site.fleet.of_service(SERVICE)
             if s.facts.hall == "a" and s is not server and s is not path.servers[0]
         ]
         held = {n for s in others for n in range(s.facts.first, s.facts.last)}
@@ -279,14 +279,14 @@
     site.model = three_speeds()
     site.fleet = Fleet()
     held = placed(servers(a={"quick": 3, "fair": 14, "slow": 16}), site.model)
-    site.fleet.take([server.facts for server in held], [], outage=False)
+    site.fleet.apply_changes([server.facts for server in held], [], outage=False)
     site.paths = Paths(site.fleet, HallName("a"))
     return site
 
 
 def on_a_slow_way(site: Site, count: int) -> list[Path]:
     """Have requests run on a way of many stages, while a quicker one with fewer is free again."""
-    quick = frozenset(s.facts.id for s in site.fleet.of(SERVICE) if s.facts.accelerator == "quick")
+    quick = frozenset(s.facts.id for s in site.fleet.of_service(SERVICE) if s.facts.accelerator == "quick")
     paths = []
     for _ in range(count):
         path = site.choose(without=quick)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -191,21 +191,21 @@
 def test_a_common_cause_does_not_make_all_servers_suspect() -> None:
     fleet = Fleet()
     listed = [facts_of(f"i-{n}", layers=None) for n in range(6)]
-    fleet.take(listed, [], outage=False)
-    said = [fleet.suspect(server, "silent") for server in list(fleet.servers.values())]
+    fleet.apply_changes(listed, [], outage=False)
+    said = [fleet.mark_suspect(server, "silent") for server in list(fleet.servers.values())]
     assert said == [True, True, True, False, False, False]
 
 
 def test_rows_that_vanish_in_an_outage_are_kept_for_a_while() -> None:
     fleet = Fleet()
     listed = [facts_of(f"i-{n}", layers=None) for n in range(3)]
-    fleet.take(listed, [], outage=False)
-    fleet.replace(listed[:1], outage=True)
+    fleet.apply_changes(listed, [], outage=False)
+    fleet.apply_snapshot(listed[:1], outage=True)
     assert len(fleet.servers) == 3
-    fleet.take([listed[1]], [], outage=True)
+    fleet.apply_changes([listed[1]], [], outage=True)
     fleet.drop_lapsed()
     assert set(fleet.servers) == {BackendId("i-0"), BackendId("i-1")}
-    fleet.replace(listed[:1], outage=False)
+    fleet.apply_snapshot(listed[:1], outage=False)
     assert set(fleet.servers) == {BackendId("i-0")}
 
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -49,7 +49,7 @@
         self.name = MemberId(name)
         self.site = site
         self.fleet = Fleet()
-        self.fleet.take([facts_of(layers=None, kind=None)], [], outage=False)
+        self.fleet.apply_changes([facts_of(layers=None, kind=None)], [], outage=False)
         self.limits = self.fleet.rate_limits
         self.limits.me = self.name
         self.limits.on_news = self._tell
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -34,7 +34,7 @@
 
 def listed(name: str = "d0") -> tuple[Fleet, Server, list[LimitNotice]]:
     fleet, told = Fleet(), []
-    fleet.take([facts_of()], [], outage=False)
+    fleet.apply_changes([facts_of()], [], outage=False)
     fleet.rate_limits.me = MemberId(name)
     fleet.rate_limits.on_news = told.extend
     return fleet, fleet.servers[ID], told
@@ -68,9 +68,9 @@
 def test_a_limit_outlasts_the_row_of_its_server(clock: Clock, outage: bool) -> None:
     fleet, server, _ = listed()
     fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
-    fleet.take([], [ID], outage)
+    fleet.apply_changes([], [ID], outage)
     fleet.drop_lapsed()
-    fleet.take([facts_of(seq=2)], [], outage=False)
+    fleet.apply_changes([facts_of(seq=2)], [], outage=False)
     assert rate_of(fleet.servers[ID]) == 2.0
     assert not fleet.servers[ID].usable(clock.at)
 
@@ -78,7 +78,7 @@
 def test_a_new_start_has_no_limit_and_old_notices_say_nothing_of_it(clock: Clock) -> None:
     fleet, server, _ = listed()
     fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
-    fleet.take([facts_of(born=BORN + 1)], [], outage=False)
+    fleet.apply_changes([facts_of(born=BORN + 1)], [], outage=False)
     again = fleet.servers[ID]
     assert again.usable(clock.at)
     old = LimitNotice(ID, MemberId("d1"), Incarnation(BORN), 1, 2.0, 0.0)
@@ -88,14 +88,14 @@
 
 def test_a_server_with_a_limit_is_well(clock: Clock) -> None:
     fleet, server, _ = listed()
-    changed = fleet.changed
+    changed = fleet.change_count
     fleet.rate_limits.answered(server, 0.0, 99.0, SOURCE)
     assert server.sound(clock.at)
     assert server.placed(clock.at)
     assert not server.ended(clock.at)
     assert not server.usable(clock.at)
     assert server.state() == "limited"
-    assert fleet.changed == changed
+    assert fleet.change_count == changed
 
 
 def test_what_was_lent_is_used_once_or_given_back(clock: Clock) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -43,7 +43,7 @@
 @pytest.fixture
 def servers() -> tuple[Fleet, list[Server]]:
     listed = Fleet()
-    listed.take(
+    listed.apply_changes(
         [
             ServerFacts(
                 id=BackendId(f"s{n}"),
@@ -72,11 +72,11 @@
     attempts = Attempts(a_call(max_attempts=2))
     attempts.note(first)
     assert attempts.only() is None
-    listed.suspect(first, "silent")
+    listed.mark_suspect(first, "silent")
     attempts.note(second)
     assert attempts.only() == {"s0", "s1"}
     at += SURE_SECONDS / 2
-    listed.suspect(first, "silent")
+    listed.mark_suspect(first, "silent")
     assert attempts.only() == {"s0", "s1"}
     at += SURE_SECONDS / 2
     assert attempts.only() is None
@@ -91,5 +91,5 @@
     if how == "leaving":
         listed.mark_leaving(first, "it says so")
     else:
-        listed.take([], [first.facts.id], False)
+        listed.apply_changes([], [first.facts.id], False)
     assert attempts.only() is None
--- a/tests/test_restored_lists.py
+++ b/tests/test_restored_lists.py
@@ -24,33 +24,33 @@
 @pytest.fixture
 def fleet(clock: ManualClock) -> Fleet:
     made = Fleet(EXPIRY)
-    made.take([facts_of("a", seq=5), facts_of("b", seq=5)], [], outage=False)
+    made.apply_changes([facts_of("a", seq=5), facts_of("b", seq=5)], [], outage=False)
     return made
 
 
 def test_an_older_entry_of_a_known_server_changes_nothing(fleet: Fleet) -> None:
-    fleet.take([facts_of("a", seq=9, layers=LAYERS)], [], outage=False)
-    fleet.replace([facts_of("a", seq=5), facts_of("b", seq=5)], outage=True, restored=True)
+    fleet.apply_changes([facts_of("a", seq=9, layers=LAYERS)], [], outage=False)
+    fleet.apply_snapshot([facts_of("a", seq=5), facts_of("b", seq=5)], outage=True, restored=True)
     assert fleet.servers[BackendId("a")].facts.last == 8
 
 
 def test_a_server_that_said_it_leaves_is_not_taken_back_by_an_older_entry(fleet: Fleet) -> None:
-    fleet.take([facts_of("a", seq=6, state="draining")], [], outage=False)
-    fleet.replace([facts_of("a", seq=5), facts_of("b", seq=5)], outage=True, restored=True)
+    fleet.apply_changes([facts_of("a", seq=6, state="draining")], [], outage=False)
+    fleet.apply_snapshot([facts_of("a", seq=5), facts_of("b", seq=5)], outage=True, restored=True)
     assert fleet.servers[BackendId("a")].leaving
 
 
 def test_a_server_that_the_copy_lacks_stays_for_the_grace_of_an_outage(fleet: Fleet) -> None:
-    fleet.replace([facts_of("b", seq=5)], outage=True, restored=True)
+    fleet.apply_snapshot([facts_of("b", seq=5)], outage=True, restored=True)
     assert fleet.servers[BackendId("a")].sound(fleets.now())
-    fleet.take([facts_of("a", seq=6)], [], outage=True)
+    fleet.apply_changes([facts_of("a", seq=6)], [], outage=True)
     fleet.drop_lapsed()
     assert BackendId("a") in fleet.servers
 
 
 def gone_and_back(fleet: Fleet) -> fleets.Server:
-    fleet.take([], [BackendId("a")], outage=False)
-    fleet.replace([facts_of("a", seq=5), facts_of("b", seq=5)], outage=True, restored=True)
+    fleet.apply_changes([], [BackendId("a")], outage=False)
+    fleet.apply_snapshot([facts_of("a", seq=5), facts_of("b", seq=5)], outage=True, restored=True)
     return fleet.servers[BackendId("a")]
 
 
@@ -63,7 +63,7 @@
 
 def test_it_is_used_again_once_it_has_written_its_entry(fleet: Fleet, clock: ManualClock) -> None:
     server = gone_and_back(fleet)
-    fleet.take([facts_of("a", seq=6)], [], outage=False)
+    fleet.apply_changes([facts_of("a", seq=6)], [], outage=False)
     assert server.sound(clock.at)
 
 
@@ -75,10 +75,10 @@
 
 def test_a_later_start_of_it_is_used_at_once(fleet: Fleet, clock: ManualClock) -> None:
     gone_and_back(fleet)
-    fleet.take([facts_of("a", seq=1, born=BORN + 1)], [], outage=False)
+    fleet.apply_changes([facts_of("a", seq=1, born=BORN + 1)], [], outage=False)
     assert fleet.servers[BackendId("a")].sound(clock.at)
 
 
 def test_a_server_that_is_new_in_the_copy_is_used_at_once(fleet: Fleet, clock: ManualClock) -> None:
-    fleet.replace([facts_of(name, seq=5) for name in "abc"], outage=True, restored=True)
+    fleet.apply_snapshot([facts_of(name, seq=5) for name in "abc"], outage=True, restored=True)
     assert fleet.servers[BackendId("c")].sound(clock.at)
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -46,55 +46,55 @@
 
 def listed() -> tuple[Fleet, Server]:
     fleet = Fleet()
-    fleet.take([facts_of()], [], outage=False)
+    fleet.apply_changes([facts_of()], [], outage=False)
     return fleet, fleet.servers[ID]
 
 
 @pytest.mark.parametrize(("then", "ends"), [(1.0, REST), (10.0, 11.0)])
 def test_a_later_word_makes_a_rest_longer_and_never_shorter(clock: Clock, then: float, ends: float) -> None:
     fleet, server = listed()
-    fleet.rest(server, REST)
+    fleet.set_rest(server, REST)
     clock.at += 1.0
-    fleet.rest(server, then)
+    fleet.set_rest(server, then)
     assert server.rest_until == 100.0 + ends
 
 
 def test_a_server_at_rest_is_well(clock: Clock) -> None:
     fleet, server = listed()
-    changed = fleet.changed
-    fleet.rest(server, REST)
+    changed = fleet.change_count
+    fleet.set_rest(server, REST)
     assert not server.usable(clock.at)
     assert server.sound(clock.at)
     assert server.placed(clock.at)
     assert not server.ended(clock.at)
-    assert fleet.changed == changed
+    assert fleet.change_count == changed
     assert fleet.usable(server.facts.service) == []
-    assert fleet.opens_in(server.facts.service) == REST
+    assert fleet.seconds_until_available(server.facts.service) == REST
     clock.at += REST
     assert server.usable(clock.at)
-    assert fleet.opens_in(server.facts.service) is None
+    assert fleet.seconds_until_available(server.facts.service) is None
 
 
 def test_servers_at_rest_do_not_keep_others_from_being_suspect(clock: Clock) -> None:
     fleet = Fleet()
-    fleet.take([facts_of(f"s{n}") for n in range(4)], [], outage=False)
+    fleet.apply_changes([facts_of(f"s{n}") for n in range(4)], [], outage=False)
     first, second, third, _ = fleet.servers.values()
-    fleet.rest(first, REST)
-    fleet.rest(second, REST)
-    assert fleet.suspect(third, "silent")
+    fleet.set_rest(first, REST)
+    fleet.set_rest(second, REST)
+    assert fleet.mark_suspect(third, "silent")
 
 
 @pytest.mark.parametrize("outage", [False, True])
 @pytest.mark.parametrize("state", ["ready", "draining"])
 def test_what_a_server_said_outlasts_its_row(clock: Clock, outage: bool, state: str) -> None:
     fleet, server = listed()
-    fleet.rest(server, REST)
-    fleet.said_leaving(server, "its answer")
-    fleet.take([facts_of(seq=2, state=state)], [], outage=False)
+    fleet.set_rest(server, REST)
+    fleet.announce_leaving(server, "its answer")
+    fleet.apply_changes([facts_of(seq=2, state=state)], [], outage=False)
     assert (server.leaving, server.rest_until) == (True, 100.0 + REST)
-    fleet.take([], [ID], outage)
+    fleet.apply_changes([], [ID], outage)
     fleet.drop_lapsed()
-    fleet.take([facts_of(seq=3, state=state)], [], outage=False)
+    fleet.apply_changes([facts_of(seq=3, state=state)], [], outage=False)
     again = fleet.servers[ID]
     assert again is not server
     assert (again.leaving, again.rest_until) == (True, 100.0 + REST)
@@ -102,13 +102,13 @@
 
 def test_a_new_start_ends_what_a_server_said(clock: Clock) -> None:
     fleet, server = listed()
-    fleet.rest(server, 3600.0)
-    fleet.said_leaving(server, "its answer")
-    fleet.take([facts_of(born=BORN + 1)], [], outage=False)
+    fleet.set_rest(server, 3600.0)
+    fleet.announce_leaving(server, "its answer")
+    fleet.apply_changes([facts_of(born=BORN + 1)], [], outage=False)
     again = fleet.servers[ID]
     assert again.usable(clock.at)
     # Word of the start before says nothing of this one.
-    fleet.rest(server, REST)
+    fleet.set_rest(server, REST)
     assert again.usable(clock.at)
 
 
@@ -116,9 +116,9 @@
     fleet = Fleet()
     for number in range(MAX_TOMBSTONES + 10):
         backend = BackendId(f"s{number}")
-        fleet.take([facts_of(backend)], [], outage=False)
-        fleet.rest(fleet.servers[backend], REST)
-        fleet.take([], [backend], outage=False)
+        fleet.apply_changes([facts_of(backend)], [], outage=False)
+        fleet.set_rest(fleet.servers[backend], REST)
+        fleet.apply_changes([], [backend], outage=False)
     assert len(fleet.tombstones.known) == MAX_TOMBSTONES
 
 
@@ -161,9 +161,9 @@
 
     def say() -> None:
         if word == "rest":
-            fleet.rest(server, REST)
+            fleet.set_rest(server, REST)
         else:
-            fleet.said_leaving(server, "its answer")
+            fleet.announce_leaving(server, "its answer")
 
     if when == "before":
         say()
@@ -183,7 +183,7 @@
 ) -> None:
     fleet, server = listed()
     peers, connections = relaying(monkeypatch, fleet)
-    fleet.rest(server, REST)
+    fleet.set_rest(server, REST)
     clock.at += REST
     send(peers, a_call(2), server, None, None)
     assert len(connections.sent) == 1
@@ -229,7 +229,7 @@
     site = Site("a", a={"big": 4, "middle": 9, "small": 14})
     path = site.serve()
     resting, dead = path.servers[1], path.servers[2]
-    site.fleet.rest(resting, REST)
+    site.fleet.set_rest(resting, REST)
     chosen = [site.serve() for _ in range(30)]
     assert all(resting not in other.servers for other in chosen)
     detour = site.paths.detour(path, SERVICE, site.model, frozenset({dead.facts.id}))
@@ -244,10 +244,10 @@
 
 def test_when_rests_are_over_is_told_by_those_that_are_needed(clock: Clock) -> None:
     site = Site("a", a={"big": 4, "middle": 9, "small": 14})
-    heads = [s for s in site.fleet.of(SERVICE) if s.facts.held and s.facts.first == 0]
+    heads = [s for s in site.fleet.of_service(SERVICE) if s.facts.held and s.facts.first == 0]
     assert len(heads) > 1
     for number, head in enumerate(heads):
-        site.fleet.rest(head, REST + number)
+        site.fleet.set_rest(head, REST + number)
     assert site.choose() is None
     assert site.paths.covered_in(SERVICE, site.model) == REST
     last = heads[-1].facts.id
@@ -289,7 +289,7 @@
     # Several daemons have it from the server at the same time.
     for name in list(made)[:3]:
         spreading = made[name]
-        spreading.fleet.said_leaving(spreading.fleet.servers[BackendId("s1")], "its answer")
+        spreading.fleet.announce_leaving(spreading.fleet.servers[BackendId("s1")], "its answer")
     told = 0
     while on_way and told < 1000:
         sender, to, found = on_way.pop(rng.randrange(len(on_way)))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -33,7 +33,7 @@
         self.model = pipeline()
         self.fleet = Fleet()
         held = placed(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
-        self.fleet.take([server.facts for server in held], [], outage=False)
+        self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.budget = RetryBudget(floor=100.0)
         self.rerouted: list[Any] = []
         control = SimpleNamespace(reroute=self._reroute)
@@ -73,7 +73,7 @@
         for server in self.run.path.servers[1:]:
             twins = [
                 other
-                for other in self.fleet.of(SERVICE)
+                for other in self.fleet.of_service(SERVICE)
                 if other not in (server, self.run.path.servers[0])
                 and (other.facts.first, other.facts.last) == (server.facts.first, server.facts.last)
             ]
@@ -123,7 +123,7 @@
     leaving = scene.paired_stage()
     twins = [
         server
-        for server in scene.fleet.of(SERVICE)
+        for server in scene.fleet.of_service(SERVICE)
         if server is not leaving
         and (server.facts.first, server.facts.last) == (leaving.facts.first, leaving.facts.last)
     ]
@@ -203,18 +203,18 @@
 ) -> None:
     scene = Scene(monkeypatch)
     slow = scene.paired_stage()
-    scene.fleet.pace(slow, 12.0)
+    scene.fleet.update_pace(slow, 12.0)
     runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
     assert slow not in scene.run.path.servers
     assert slow.cached == 0
     assert all(server.cached > 0 for server in scene.run.path.servers)
     scene.run.path.release()
-    assert all(server.cached == 0 and server.in_flight == 0 for server in scene.fleet.of(SERVICE))
+    assert all(server.cached == 0 and server.in_flight == 0 for server in scene.fleet.of_service(SERVICE))
 
 
 def test_a_stream_stays_on_a_stage_that_was_slow_when_it_came(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    scene.fleet.pace(scene.paired_stage(), 12.0)
+    scene.fleet.update_pace(scene.paired_stage(), 12.0)
     scene.run = Run(scene.run.path, Attempts(scene.call))
     runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
     assert scene.rerouted == []
@@ -229,10 +229,10 @@
     scene = Scene(monkeypatch)
     # Another hall can begin the answer.
     held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
-    scene.fleet.take([server.facts for server in held], [], outage=False)
+    scene.fleet.apply_changes([server.facts for server in held], [], outage=False)
     scene.call.once = once
     scene.run.begun = begun
-    scene.fleet.pace(scene.run.path.servers[0], 12.0)
+    scene.fleet.update_pace(scene.run.path.servers[0], 12.0)
     if leaves:
         with pytest.raises(BackendError):
             runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
@@ -243,11 +243,11 @@
 def dead_head(scene: Scene, begun: bool = True) -> None:
     """Let the first stage of the stream be found silent."""
     held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
-    scene.fleet.take([server.facts for server in held], [], outage=False)
+    scene.fleet.apply_changes([server.facts for server in held], [], outage=False)
     scene.call.seconds_left = lambda: 10.0
     scene.run.begun = begun
     head = scene.run.path.servers[0]
-    assert scene.fleet.suspect(head, "silent")
+    assert scene.fleet.mark_suspect(head, "silent")
     head.suspect_since = scene.at
 
 
@@ -279,7 +279,7 @@
 ) -> None:
     scene = Scene(monkeypatch)
     dead_head(scene)
-    for server in scene.fleet.of(SERVICE):
+    for server in scene.fleet.of_service(SERVICE):
         server.cached += 1e9
     look_into(scene)
 
@@ -291,7 +291,7 @@
     scene.call.seconds_left = lambda: 10.0
     scene.budget.floor = scene.budget.fraction = 0.0
     silent = scene.paired_stage()
-    assert scene.fleet.suspect(silent, "silent")
+    assert scene.fleet.mark_suspect(silent, "silent")
     silent.suspect_since = scene.at
     look_into(scene)
     assert len(scene.rerouted) == 1
@@ -354,7 +354,7 @@
     with pytest.raises((NoRoute, Overloaded)):
         streams.relay_stream(scene.peers, scene.call, scene.model, SimpleNamespace(sent=False))  # type: ignore[arg-type]
     assert looks <= MAX_UNREACHED + 1
-    assert all(server.in_flight == 0 and server.cached == 0 for server in scene.fleet.of(SERVICE))
+    assert all(server.in_flight == 0 and server.cached == 0 for server in scene.fleet.of_service(SERVICE))
 
 
 def test_a_stage_that_ends_while_a_stream_is_moved_to_it_ends_under_that_stream(
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -31,11 +31,11 @@
     def __init__(self, seed: int = 1) -> None:
         self.fleet = Fleet()
         held = placed(servers(a={"big": 6, "middle": 9, "small": 14}), pipeline())
-        self.fleet.take([server.facts for server in held], [], outage=False)
+        self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         rng = random.Random(seed)
         self.quarantine = Quarantine(b"key", rng)
         self.peers: Any = SimpleNamespace(fleet=self.fleet, quarantine=self.quarantine, rng=rng)
-        self.heads = [s for s in self.fleet.of(SERVICE) if s.facts.held and s.facts.first == 0]
+        self.heads = [s for s in self.fleet.of_service(SERVICE) if s.facts.held and s.facts.first == 0]
 
     def suspect(self, body: bytes) -> Any:
         asked = call(body, service=SERVICE, deadline=now() + 20.0)
@@ -134,7 +134,7 @@
         for number in range(ends):
             daemon.quarantine.broke_off(asked, start(number), None)
             daemon.quarantine.server_ended(start(number))
-        path = [server for server in daemon.fleet.of(SERVICE) if server.facts.held][:4]
+        path = [server for server in daemon.fleet.of_service(SERVICE) if server.facts.held][:4]
         probes = Probes(daemon, {path[2].facts.id}, {path[3].facts.id})
         daemon.peers.links = probes
         examined: list[Server] = []
--- a/tests/test_wholes.py
+++ b/tests/test_wholes.py
@@ -35,7 +35,7 @@
             facts_of(f"s{n}", service=SERVICE, zone=hall, layers=None, kind=None)
             for n, hall in enumerate(halls)
         ]
-        self.fleet.take(rows, [], outage=False)
+        self.fleet.apply_changes(rows, [], outage=False)
         self.servers = list(self.fleet.servers.values())
         self.running: list[tuple[float, Server]] = []
         self.peers: Any = SimpleNamespace(
