--- a/bayglade/diagnosis.py
+++ b/bayglade/diagnosis.py
@@ -165,7 +165,7 @@
         while True:
             crowd = max(1.0, self.daemons() / RECHECK_DAEMONS)
             eventlet.sleep(RECHECK_SECONDS * crowd * self.rng.uniform(1 - SPREAD, 1 + SPREAD))
-            stages = [s for s in self.fleet.servers.values() if s.facts.held]
+            stages = [s for s in self.fleet.servers.values() if s.facts.layer_count]
             # Requests go round a slow stage, so none would notice that it is quick again.
             self.look_again(s for s in stages if s.suspect or s.pace > SLOW_PACE)
 
@@ -233,7 +233,7 @@
                 report = None
             if self.fleet.servers.get(facts.id, server) is not server:
                 return
-            self.findings[facts.id] = Finding(report, report is None and server.refused)
+            self.findings[facts.id] = Finding(report, report is None and server.connection_refused)
             if report is not None:
                 self.on_answer(server, asked_at)
                 if report.leaving:
@@ -254,7 +254,7 @@
     """
     if not any(finding.report is not None for finding in lately):
         return []
-    return [server for server in silent if server.refused]
+    return [server for server in silent if server.connection_refused]
 
 
 def _own_fault(silent: int, asked: int, lately: list[Finding]) -> bool:
--- a/bayglade/ends.py
+++ b/bayglade/ends.py
@@ -25,7 +25,7 @@
             return
         # A stream that two servers cut within a second may go on at once, and need not wait until the
         # last one has been silent for long enough.
-        server.refused = True
+        server.connection_refused = True
         quarantine.server_ended(server.facts.key)
 
     def unlisted(server: Server) -> None:
@@ -39,7 +39,7 @@
             quarantine.server_ended(server.facts.key)
 
     def answered(server: Server, asked_at: float) -> None:
-        server.refused = False
+        server.connection_refused = False
         quarantine.server_lives(server.facts.key, asked_at)
 
     fleet.on_ended = quarantine.server_ended
--- a/bayglade/fleet.py
+++ b/bayglade/fleet.py
@@ -81,7 +81,7 @@
     def healthy(self, service: ServiceName) -> list[Server]:
         """List the servers of a service that may get new work, or could but for their rest or limit."""
         at = now()
-        return [server for server in self.of_service(service) if server.sound(at)]
+        return [server for server in self.of_service(service) if server.healthy(at)]
 
     def seconds_until_available(self, service: ServiceName) -> float | None:
         """Return when the first server takes a request that takes none now for its rest or its limit.
@@ -89,7 +89,7 @@
         :return: seconds; nothing when that is not what keeps requests from servers.
         """
         at = now()
-        ends = [server.opens_at(at) - at for server in self.healthy(service)]
+        ends = [server.available_at(at) - at for server in self.healthy(service)]
         return min((seconds for seconds in ends if 0.0 < seconds < math.inf), default=None)
 
     def apply_changes(
@@ -195,10 +195,10 @@
         at = now()
         server.failures += 1
         peers = self.of_service(server.facts.service)
-        others = sum(1 for peer in peers if not peer.sound(at) and peer is not server)
+        others = sum(1 for peer in peers if not peer.healthy(at) and peer is not server)
         if others + 1 > max(1.0, len(peers) * MAX_SUSPECT_FRACTION):
             return False
-        if server.facts.held:
+        if server.facts.layer_count:
             if not server.suspect:
                 server.suspect_since = at
             server.suspect = True
@@ -212,7 +212,7 @@
     def clear_suspicion(self, server: Server, reason: str) -> None:
         """End the suspicion of a server."""
         server.suspect = False
-        server.refused = False
+        server.connection_refused = False
         server.suspect_until = 0.0
         self.change_count += 1
         event("INFO", "server trusted", peer=server.facts.id, reason=reason)
@@ -259,7 +259,7 @@
     def record_success(self, server: Server) -> None:
         """Note a whole answer."""
         server.failures = 0
-        server.refused = False
+        server.connection_refused = False
 
     def _list(self, facts: ServerFacts) -> None:
         newest = self.newest_incarnations.get(facts.id, UNKNOWN_INCARNATION)
@@ -271,9 +271,13 @@
             return
         self.lapsed.discard(facts.id)
         server = self.servers.get(facts.id)
-        if server is not None and server.facts.key == facts.key and facts.writes < server.facts.writes:
+        if (
+            server is not None
+            and server.facts.key == facts.key
+            and facts.write_count < server.facts.write_count
+        ):
             # A store that came back from an older copy: what the server wrote since holds.
-            event("INFO", "older entry ignored", peer=facts.id, writes=facts.writes)
+            event("INFO", "older entry ignored", peer=facts.id, writes=facts.write_count)
             return
         if server is None:
             self._add(facts)
@@ -292,7 +296,7 @@
         if server.suspect and (facts.first, facts.last) != (server.facts.first, server.facts.last):
             # It writes its row itself, so it lives and holds what that says.
             self.clear_suspicion(server, "its row has changed")
-        if facts.writes > server.facts.writes:
+        if facts.write_count > server.facts.write_count:
             server.unconfirmed_until = 0.0
         server.facts = facts
 
--- a/bayglade/loading.py
+++ b/bayglade/loading.py
@@ -175,7 +175,9 @@
         """
         at = now()
         servers = [
-            s for s in self.fleet.of_service(service) if s.placed(at) and s.facts.last <= pipeline.layers
+            s
+            for s in self.fleet.of_service(service)
+            if s.counts_for_layout(at) and s.facts.last <= pipeline.layers
         ]
         excluded = {s.facts.id for s in servers if s.excluded is not None}
         expected = [self._with_pending_order(s.facts, at) for s in servers]
@@ -190,8 +192,8 @@
         }
 
     def _wanted_in_group(self, group: list[ServerFacts], pipeline: Pipeline, at: float) -> Spans:
-        empty = [facts for facts in group if not facts.held]
-        holding = [facts for facts in group if facts.held]
+        empty = [facts for facts in group if not facts.layer_count]
+        holding = [facts for facts in group if facts.layer_count]
         if not holding:
             return tile_group(group, pipeline, self.pair_servers) if self._settled(at) else {}
         spans = fill_empty(holding, empty, pipeline)
--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -198,7 +198,7 @@
     """
     facts, pipeline = server.facts, search.pipeline
     accelerator = facts.accelerator or ""
-    size = pipeline.cache_capacity(accelerator, facts.held)
+    size = pipeline.cache_capacity(accelerator, facts.layer_count)
     kind = pipeline.accelerators[accelerator]
     passing = taken / search.usual_cached
     shared = kind.step_factor * pipeline.request_ms * passing
@@ -240,7 +240,7 @@
     Servers are taken in the order of their last layers, so that no way comes
     back to a server that it has left.
     """
-    fitting = [s for s in servers if s.facts.held > 0 and s.facts.fits(search.pipeline)]
+    fitting = [s for s in servers if s.facts.layer_count > 0 and s.facts.fits(search.pipeline)]
     fitting.sort(key=lambda s: (s.facts.last, s.facts.first, s.facts.id))
     hall = start.server.facts.hall if start.server is not None else None
     ways: Ways = {start.last: {hall: start}}
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -88,7 +88,7 @@
             s
             for s in self.fleet.usable(service)
             if s.facts.id not in without
-            and s.short_until <= at
+            and s.full_until <= at
             and _may_begin(s, loads.get(s.facts.key, NO_LOAD), heads)
         ]
         search = self._search(pipeline, demand, loads)
@@ -105,7 +105,7 @@
     def _want(self, service: ServiceName) -> None:
         """Have requests lent to the servers that name a limit, those of the own hall before others."""
         at = now()
-        limited = [s for s in self.fleet.of_service(service) if s.throttle is not None and s.sound(at)]
+        limited = [s for s in self.fleet.of_service(service) if s.throttle is not None and s.healthy(at)]
         near = [server for server in limited if server.facts.hall == self.hall]
         self.fleet.rate_limits.want(near or limited)
 
@@ -148,7 +148,7 @@
             if server.facts.id not in without and _may_lead(server, heads)
         ]
 
-        opens = {server.facts.id: server.opens_at(at) for server in servers}
+        opens = {server.facts.id: server.available_at(at) for server in servers}
 
         def covers(when: float) -> bool:
             return (
@@ -194,7 +194,9 @@
             s
             for s in self.fleet.healthy(service)
             # A stage that takes nothing new goes on with what it runs.
-            if s.facts.id not in without and s is not head and (s.opens_at(at) <= at or s in path.servers)
+            if s.facts.id not in without
+            and s is not head
+            and (s.available_at(at) <= at or s in path.servers)
         ]
         search = self._search(pipeline, path.demand, self.elsewhere())
         search.reading = _reading(path, search, without)
@@ -224,9 +226,9 @@
 
         def begin_ms(server: Server) -> float:
             cold = Mechanism.WARM not in self.without and not self.warm(server.facts.id)
-            ahead = max(0, server.unread - 1) * self.daemons()
+            ahead = max(0, server.unanswered - 1) * self.daemons()
             kind = server.facts.accelerator or ""
-            reading = pipeline.prefill_ms(kind, demand.prompt, server.facts.held) if ahead else 0.0
+            reading = pipeline.prefill_ms(kind, demand.prompt, server.facts.layer_count) if ahead else 0.0
             return (COLD_BEGIN_MS if cold else 0.0) + ahead * reading / PAUSE_TOKENS
 
         return begin_ms
@@ -271,7 +273,13 @@
     }
     left = [server for server in path.servers if server.facts.id in without]
     moving = max(
-        [1.0, *(search.taken(s) / (pipeline.typical_request().cached * max(1, s.facts.held)) for s in left)]
+        [
+            1.0,
+            *(
+                search.taken(s) / (pipeline.typical_request().cached * max(1, s.facts.layer_count))
+                for s in left
+            ),
+        ]
     )
 
     def reading(server: Server, first: int, last: int) -> float:
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -461,5 +461,5 @@
         return [
             ServerLoad(s.facts.id, s.in_flight, int(s.cached), s.facts.incarnation)
             for s in servers
-            if s.facts.held and (s.in_flight or s.cached >= 1)
+            if s.facts.layer_count and (s.in_flight or s.cached >= 1)
         ]
--- a/bayglade/platform/documents.py
+++ b/bayglade/platform/documents.py
@@ -210,9 +210,9 @@
         accelerator=row.kind,
         first=layers.first,
         last=layers.last,
-        weights=layers.version,
+        weights_version=layers.version,
         incarnation=incarnation_of(row.born),
-        writes=row.seq,
+        write_count=row.seq,
     )
 
 
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -102,9 +102,9 @@
     def want(self, server: Server) -> None:
         """Ask for a request to a server, unless one is there or was asked for."""
         throttle, at = server.throttle, now()
-        if throttle is None or throttle.asking or throttle.has_token(at) or at < throttle.retry_at:
+        if throttle is None or throttle.requesting or throttle.has_token(at) or at < throttle.retry_at:
             return
-        throttle.asking = True
+        throttle.requesting = True
         eventlet.spawn_n(self._borrow, server)
 
     def lend(self, server: Server, member: MemberId) -> QuotaReply:
@@ -165,14 +165,14 @@
         try:
             reply = self._ask(server, self.limits.notice(server), 0)
         finally:
-            throttle.asking = False
+            throttle.requesting = False
         at = now()
         throttle.contenders = max(1, reply.contenders)
         if not reply.granted:
             throttle.retry_at = at + reply.wait
             return
         until = at + LOAN_SECONDS
-        throttle.lent(until)
+        throttle.grant(until)
         eventlet.spawn_after(LOAN_SECONDS, self._expire, server, until)
         self.wake(server.facts.service)
 
@@ -195,7 +195,7 @@
 
     def _expire(self, server: Server, until: float) -> None:
         throttle = server.throttle
-        if throttle is not None and throttle.token and throttle.lent_until == until:
+        if throttle is not None and throttle.token and throttle.token_expires_at == until:
             throttle.token = False
             self._return(server, 0)
 
--- a/bayglade/rate_limits.py
+++ b/bayglade/rate_limits.py
@@ -116,7 +116,7 @@
                 rate += lent_rate(server) / server.throttle.contenders
             elif not server.resting(at):
                 return None
-            opens = min(opens, server.opens_at(at))
+            opens = min(opens, server.available_at(at))
         if opens == math.inf:
             return None
         return max(opens - at, ahead / rate if rate else 0.0)
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -189,7 +189,7 @@
         that one call may be sent to; one that is out of reach just now does.
         """
         at = now()
-        alive = frozenset(head.facts.id for head in self.heads if not head.ended(at))
+        alive = frozenset(head.facts.id for head in self.heads if not head.has_ended(at))
         return alive if len(alive) >= self.call.endpoint.max_attempts else None
 
     def note(self, server: Server) -> None:
--- a/bayglade/repair.py
+++ b/bayglade/repair.py
@@ -54,7 +54,7 @@
     """Return the largest number of layers that a server of each kind holds."""
     lengths: dict[str | None, int] = {}
     for server in servers:
-        lengths[server.accelerator] = max(lengths.get(server.accelerator, 0), server.held)
+        lengths[server.accelerator] = max(lengths.get(server.accelerator, 0), server.layer_count)
     return lengths
 
 
--- a/bayglade/reservations.py
+++ b/bayglade/reservations.py
@@ -34,7 +34,7 @@
     def release(self) -> None:
         """Release the servers, and return the tokens if the request was not sent."""
         for throttle in self.reserved:
-            throttle.give_back()
+            throttle.return_token()
         self.reserved = []
 
     def admits(self, server: Server) -> bool:
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -130,12 +130,12 @@
         """Note that the request was sent; its first stage has it to read now."""
         self.exchange = exchange
         self.unread_at = self.path.servers[0]
-        self.unread_at.unread += 1
+        self.unread_at.unanswered += 1
 
     def was_read(self) -> None:
         """Note that its first stage has read the request, or will not."""
         if self.unread_at is not None:
-            self.unread_at.unread -= 1
+            self.unread_at.unanswered -= 1
             self.unread_at = None
 
     def moved_on(self) -> None:
@@ -295,7 +295,7 @@
     """
     if _can_resend(peers, call, pipeline, run):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
-    if not stage.ended(now()):
+    if not stage.has_ended(now()):
         return
     if stage is run.path.servers[0] or not run.begun or not _may_stay(peers, call):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
--- a/bayglade/servers.py
+++ b/bayglade/servers.py
@@ -13,17 +13,17 @@
 )
 from bayglade.pipelines import Pipeline
 
-SURE_SECONDS = 1.0
+ENDED_AFTER_SECONDS = 1.0
 """A stage that was silent for so long, though asked again, is taken to have ended. A link that is
 busy with a large document holds answers up for some tenths of a second."""
-REFUSAL_SECONDS = 5.0
+REFUSAL_TIME_CONSTANT = 5.0
 """Time constant in which a refusal is forgotten: longer than the rests that servers ask for, 3 s, or each
 rest would end with a call that is lost; short enough that a server is used again some seconds later."""
 SLOW_PACE = 1.5
 """A server that says it is so many times slower than usual is asked again whether it still is."""
-LOAN_DELAY_SECONDS = 0.01
+TOKEN_DELAY_SECONDS = 0.01
 """Until a request to a server with a limit is lent: the way to another daemon and back."""
-EXCLUDED_SECONDS = 3.0
+EXCLUDED_LAYOUT_SECONDS = 3.0
 """For how long a server keeps its layers in layouts while its entry is not its own: it writes its entry
 anew within a heartbeat, 1.2 s on the users' platform, and a reload would take longer."""
 
@@ -44,11 +44,11 @@
     accelerator: str | None = None
     first: int = 0
     last: int = 0
-    weights: int = 0
+    weights_version: int = 0
     """Version of the weights it holds."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
-    writes: int = 0
+    write_count: int = 0
     """How often this start had written its entry."""
 
     @property
@@ -57,7 +57,7 @@
         return ServerKey(self.id, self.incarnation)
 
     @property
-    def held(self) -> int:
+    def layer_count(self) -> int:
         """Return how many layers it holds."""
         return self.last - self.first
 
@@ -79,16 +79,16 @@
 class Throttle:
     """What this daemon may send to a server that names a limit; times are monotonic seconds."""
 
-    __slots__ = ("asking", "contenders", "lent_until", "retry_at", "token")
+    __slots__ = ("contenders", "requesting", "retry_at", "token", "token_expires_at")
 
     def __init__(self) -> None:
-        self.asking = False
+        self.requesting = False
         """Whether a request is being asked for."""
 
         self.token = False
         """Whether one was lent that is not sent yet."""
 
-        self.lent_until = 0.0
+        self.token_expires_at = 0.0
         self.retry_at = 0.0
         """When there may be one to lend again."""
 
@@ -100,22 +100,22 @@
 
     def has_token(self, at: float) -> bool:
         """Tell whether a request may go out."""
-        return self.token and at < self.lent_until
+        return self.token and at < self.token_expires_at
 
-    def opens_at(self, at: float) -> float:
+    def available_at(self, at: float) -> float:
         """Return when the next request may go out at the earliest."""
-        return at if self.has_token(at) else max(self.retry_at, at + LOAN_DELAY_SECONDS)
+        return at if self.has_token(at) else max(self.retry_at, at + TOKEN_DELAY_SECONDS)
 
-    def lent(self, until: float) -> None:
+    def grant(self, until: float) -> None:
         """Take in a request that may be sent until a time."""
-        self.token, self.lent_until = True, until
+        self.token, self.token_expires_at = True, until
 
     def take(self, at: float) -> bool:
         """Use the request that was lent; tell whether there was one."""
         had, self.token = self.has_token(at), False
         return had
 
-    def give_back(self) -> None:
+    def return_token(self) -> None:
         """Note that a request that was taken did not go out."""
         self.token = True
 
@@ -125,24 +125,24 @@
 
     __slots__ = (
         "cached",
+        "connection_refused",
         "excluded",
         "excluded_at",
         "facts",
         "failures",
+        "full_until",
         "in_flight",
         "leaving",
         "pace",
         "rate_limit",
         "refusals",
-        "refused",
         "rest_until",
-        "short_until",
         "suspect",
         "suspect_since",
         "suspect_until",
         "throttle",
+        "unanswered",
         "unconfirmed_until",
-        "unread",
     )
 
     def __init__(self, facts: ServerFacts) -> None:
@@ -160,28 +160,28 @@
         self.unconfirmed_until = 0.0
         """Until when its entry may be one that the platform only has from an older copy of its list."""
 
-        self.unread = 0
+        self.unanswered = 0
         """Own requests whose first stage it is, and which it has not begun to answer."""
 
         self.failures = 0
         self.suspect = False
         """Set for a stage until it answers again."""
 
-        self.refused = False
+        self.connection_refused = False
         """Set when nobody listened at its address, until it answers again."""
 
         self.suspect_since = 0.0
         self.suspect_until = 0.0
         """Set for a server of a plain service, which has no report to ask for."""
 
-        self.refusals = Decayed(REFUSAL_SECONDS)
+        self.refusals = Decayed(REFUSAL_TIME_CONSTANT)
         """Requests that it turned away lately; a plain server counts as that much busier.
 
         Calls that may go to one server only are lost when that one refuses, and one that refuses has the
         least under way.
         """
 
-        self.short_until = 0.0
+        self.full_until = 0.0
         """Until when it is taken to have no room, after it turned a request away."""
 
         self.rest_until = 0.0
@@ -200,7 +200,7 @@
     def __repr__(self) -> str:
         return f"<Server {self.facts.id} {self.facts.first}-{self.facts.last} in_flight={self.in_flight}>"
 
-    def sound(self, at: float) -> bool:
+    def healthy(self, at: float) -> bool:
         """Tell whether nothing is wrong with it; it may take no request now all the same."""
         if self.leaving or self.suspect or self.excluded is not None:
             return False
@@ -210,29 +210,29 @@
         """Tell whether it asked for a rest that is not over."""
         return at < self.rest_until
 
-    def opens_at(self, at: float) -> float:
+    def available_at(self, at: float) -> float:
         """Return when it takes the next request of this daemon, as far as its rest and its limit go."""
         if self.throttle is None:
             return max(at, self.rest_until)
-        return max(self.rest_until, self.throttle.opens_at(at))
+        return max(self.rest_until, self.throttle.available_at(at))
 
     def usable(self, at: float) -> bool:
         """Tell whether new work may go there."""
-        if at < self.rest_until or not self.sound(at):
+        if at < self.rest_until or not self.healthy(at):
             return False
         return self.throttle is None or self.throttle.has_token(at)
 
-    def placed(self, at: float) -> bool:
+    def counts_for_layout(self, at: float) -> bool:
         """Tell whether a layout counts on it and its layers."""
         if self.leaving or self.suspect or at < self.unconfirmed_until:
             return False
-        return self.excluded is None or at - self.excluded_at < EXCLUDED_SECONDS
+        return self.excluded is None or at - self.excluded_at < EXCLUDED_LAYOUT_SECONDS
 
-    def ended(self, at: float) -> bool:
+    def has_ended(self, at: float) -> bool:
         """Tell whether it is surely gone, and not just out of reach for a moment."""
-        if self.leaving or self.refused:
+        if self.leaving or self.connection_refused:
             return True
-        return self.suspect and at - self.suspect_since >= SURE_SECONDS
+        return self.suspect and at - self.suspect_since >= ENDED_AFTER_SECONDS
 
     def state(self) -> str:
         """Return in a word how it stands."""
@@ -243,7 +243,7 @@
         at = now()
         if at < self.unconfirmed_until:
             return "unconfirmed"
-        if not self.sound(at):
+        if not self.healthy(at):
             return "suspect"
         if self.resting(at):
             return "resting"
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -262,7 +262,7 @@
 
 def _limited_seconds(peers: Peers, call: Call) -> float:
     """Return how long a new stream waits where all first stages name limits; zero where one does not."""
-    heads = [s for s in peers.fleet.healthy(call.service) if s.facts.held and s.facts.first == 0]
+    heads = [s for s in peers.fleet.healthy(call.service) if s.facts.layer_count and s.facts.first == 0]
     ahead = peers.wait_queues.ahead(call.service)
     return peers.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
 
@@ -425,7 +425,7 @@
         if error.misdirected:
             peers.fleet.mark_leaving(head, "another server has its address")
             return frozenset({server.facts.id})
-        server.short_until = now() + SHORT_SECONDS
+        server.full_until = now() + SHORT_SECONDS
         if server is not head:
             if error.rest_seconds is not None:
                 peers.fleet.set_rest(server, error.rest_seconds)
--- a/bayglade/trials.py
+++ b/bayglade/trials.py
@@ -36,7 +36,7 @@
     heads = [
         server
         for server in peers.fleet.usable(call.service)
-        if server.facts.held and server.facts.first == 0 and server.facts.id not in avoided
+        if server.facts.layer_count and server.facts.first == 0 and server.facts.id not in avoided
     ]
     apart = wait_apart(peers, call, heads)
     if not apart:
@@ -78,7 +78,7 @@
     with eventlet.Timeout(ENDED_SECONDS, False):
         for look in looks:
             look.wait()
-    ended = [server for server in servers if server.refused]
+    ended = [server for server in servers if server.connection_refused]
     if unknown := [server for server in ended if not server.suspect]:
         eventlet.spawn_n(peers.diagnosis.examine_anew, unknown)
     return frozenset(server.facts.id for server in ended)
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -161,7 +161,7 @@
     at = now()
     servers = [s for s in peers.fleet.healthy(call.service) if s.facts.id not in attempts.tried]
     peers.fleet.rate_limits.want(servers)
-    fitting = [server for server in servers if server.opens_at(at) <= at]
+    fitting = [server for server in servers if server.available_at(at) <= at]
     if not fitting or attempts.only() is not None:
         return None
     if peers.quarantine.suspects(call):
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -237,7 +237,7 @@
     """
     diagnosis, _, servers = diagnose({f"s{n}" for n in range(4)}, 8)
     for server in servers[:4]:
-        server.refused = True
+        server.connection_refused = True
     diagnosis.examine(servers[6:])
     for server in servers[:4]:
         assert diagnosis.look([server, servers[7]], RequestId("r")) == {server.facts.id}
@@ -247,7 +247,7 @@
 def test_a_daemon_to_which_nobody_answers_may_be_cut_off_itself() -> None:
     diagnosis, _, servers = diagnose({f"s{n}" for n in range(8)}, 8)
     for server in servers:
-        server.refused = True
+        server.connection_refused = True
     assert diagnosis.examine(servers) == frozenset()
     assert not any(server.suspect for server in servers)
 
@@ -306,7 +306,7 @@
     empty = msgspec.structs.replace(server.facts, first=0, last=0)
     diagnosis.fleet.apply_changes([empty], [], False)
     assert not server.suspect
-    assert not server.facts.held
+    assert not server.facts.layer_count
 
 
 class Connections:
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -56,7 +56,7 @@
 def test_an_address_where_nobody_listens_shows_it(scene: Scene) -> None:
     scene.links.on_refused(FACTS.id, FACTS.address)
     assert scene.ended()
-    assert scene.server.ended(0.0)
+    assert scene.server.has_ended(0.0)
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:2"])
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -56,12 +56,12 @@
     fleet = listed()
     before = fleet.servers[ID]
     before.in_flight, before.cached, before.failures, before.pace = 5, 900.0, 3, 12.0
-    before.short_until = 1e9
+    before.full_until = 1e9
     fleet.mark_suspect(before, "silent")
     after = again(fleet)
     assert after is not before
     assert (after.in_flight, after.cached, after.failures, after.pace) == (0, 0.0, 0, 1.0)
-    assert (after.suspect, after.short_until, after.facts.held) == (False, 0.0, 0)
+    assert (after.suspect, after.full_until, after.facts.layer_count) == (False, 0.0, 0)
 
 
 def test_requests_on_the_earlier_start_are_on_a_dead_server() -> None:
@@ -69,7 +69,7 @@
     before = fleet.servers[ID]
     again(fleet)
     assert before.suspect
-    assert before.ended(0.0)
+    assert before.has_ended(0.0)
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -135,8 +135,8 @@
     fleet, diagnosis, before = asked(LATER)
     assert diagnosis.examine([before]) == {ID}
     after = fleet.servers[ID]
-    assert (after.facts.incarnation, after.facts.held) == (LATER, 0)
-    assert before.ended(0.0)
+    assert (after.facts.incarnation, after.facts.layer_count) == (LATER, 0)
+    assert before.has_ended(0.0)
     # Its row, which is late, changes nothing.
     fleet.apply_changes([facts_of()], [], outage=False)
     assert fleet.servers[ID] is after
@@ -205,7 +205,7 @@
     made.heard(MemberId("a"), dead("a", LATER))
     assert fleet.servers[ID].facts.incarnation == LATER
     assert not fleet.servers[ID].suspect
-    assert before.ended(0.0)
+    assert before.has_ended(0.0)
 
 
 def test_loads_of_an_earlier_start_are_not_those_of_the_next() -> None:
@@ -251,7 +251,7 @@
     loader.pending_orders[server.facts.id] = PendingOrder(Span(0, 9), 99.0)
     facts = msgspec.structs.replace(server.facts, incarnation=Incarnation(LATER))
     fleet.apply_changes([facts], [], outage=False)
-    assert loader._with_pending_order(facts, 100.0).held == 0
+    assert loader._with_pending_order(facts, 100.0).layer_count == 0
 
 
 def test_no_order_is_given_by_what_an_earlier_start_holds(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -55,7 +55,7 @@
 
     def use(self, server: Server) -> float:
         facts = server.facts
-        return server.cached / self.model.cache_capacity(facts.accelerator or "", facts.held)
+        return server.cached / self.model.cache_capacity(facts.accelerator or "", facts.layer_count)
 
 
 def tiles(path: Path, layers: int) -> bool:
@@ -68,7 +68,7 @@
     # More than the chain of the quickest servers has room for.
     for _ in range(80):
         site.serve()
-    holders = [s for s in site.fleet.of_service(SERVICE) if s.facts.held]
+    holders = [s for s in site.fleet.of_service(SERVICE) if s.facts.layer_count]
     used = [s for s in holders if s.cached]
     assert len(used) == len(holders)
     for server in holders:
@@ -97,7 +97,7 @@
         served += 1
         assert served < 1000
     assert served > 100
-    assert all(site.use(s) <= MOST_USE for s in site.fleet.of_service(SERVICE) if s.facts.held)
+    assert all(site.use(s) <= MOST_USE for s in site.fleet.of_service(SERVICE) if s.facts.layer_count)
     assert site.paths.covered_in(SERVICE, site.model) == 0.0
 
 
@@ -107,7 +107,7 @@
     assert path is not None
     crowded = path.servers[1]
     facts = crowded.facts
-    full = site.model.cache_capacity(facts.accelerator or "", facts.held)
+    full = site.model.cache_capacity(facts.accelerator or "", facts.layer_count)
     site.paths.elsewhere = lambda: {facts.key: ServerLoad(facts.id, 0, int(full))}
     other = site.choose()
     assert other is not None
@@ -259,14 +259,14 @@
         served += 1
         path = find_path(found, search)
     for server in found:
-        size = model.cache_capacity(server.facts.accelerator or "", server.facts.held)
+        size = model.cache_capacity(server.facts.accelerator or "", server.facts.layer_count)
         assert server.cached <= MOST_USE * size
     if path is None and served:
         # Some layer has no holder left with room for one more request on all its layers.
         assert any(
             all(
-                s.cached + demand.cached * s.facts.held
-                > MOST_USE * model.cache_capacity(s.facts.accelerator or "", s.facts.held)
+                s.cached + demand.cached * s.facts.layer_count
+                > MOST_USE * model.cache_capacity(s.facts.accelerator or "", s.facts.layer_count)
                 for s in found
                 if s.facts.first <= layer < s.facts.last
             )
@@ -325,7 +325,7 @@
     firsts = []
     for _ in range(4):
         path = site.serve()
-        path.servers[0].unread += 1
+        path.servers[0].unanswered += 1
         firsts.append(path.servers[0].facts.accelerator)
     assert firsts[:2] == ["quick", "quick"]
     assert set(firsts) != {"quick"}
@@ -335,5 +335,5 @@
     site = three_speeds_site()
     site.paths.daemons = lambda: 20
     first = site.serve().servers[0]
-    first.unread = 1
+    first.unanswered = 1
     assert site.serve().servers[0] is first
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -80,7 +80,7 @@
 def test_a_server_becomes_facts() -> None:
     layers = {"from": 3, "targetVersion": 9, "version": 2}
     facts = facts_of("i-1", state="draining", layers=layers, more="passed over")
-    assert (facts.first, facts.last, facts.weights, facts.leaving) == (3, 9, 2, True)
+    assert (facts.first, facts.last, facts.weights_version, facts.leaving) == (3, 9, 2, True)
     with pytest.raises(InvalidSettings):
         decode_server("i-1", msgspec.Raw(b'{"service": 1}'))
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -90,9 +90,9 @@
     fleet, server, _ = listed()
     changed = fleet.change_count
     fleet.rate_limits.answered(server, 0.0, 99.0, SOURCE)
-    assert server.sound(clock.at)
-    assert server.placed(clock.at)
-    assert not server.ended(clock.at)
+    assert server.healthy(clock.at)
+    assert server.counts_for_layout(clock.at)
+    assert not server.has_ended(clock.at)
     assert not server.usable(clock.at)
     assert server.state() == "limited"
     assert fleet.change_count == changed
@@ -102,13 +102,13 @@
     fleet, server, _ = listed()
     fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
     assert server.throttle is not None
-    server.throttle.lent(clock.at + 1.0)
+    server.throttle.grant(clock.at + 1.0)
     assert server.usable(clock.at)
     assert server.throttle.take(clock.at)
     assert not server.throttle.take(clock.at)
-    server.throttle.give_back()
+    server.throttle.return_token()
     assert server.throttle.take(clock.at + 0.5)
-    server.throttle.give_back()
+    server.throttle.return_token()
     assert not server.throttle.take(clock.at + 1.0)
 
 
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -64,9 +64,9 @@
     changed = fleet.change_count
     fleet.set_rest(server, REST)
     assert not server.usable(clock.at)
-    assert server.sound(clock.at)
-    assert server.placed(clock.at)
-    assert not server.ended(clock.at)
+    assert server.healthy(clock.at)
+    assert server.counts_for_layout(clock.at)
+    assert not server.has_ended(clock.at)
     assert fleet.change_count == changed
     assert fleet.usable(server.facts.service) == []
     assert fleet.seconds_until_available(server.facts.service) == REST
@@ -244,7 +244,7 @@
 
 def test_when_rests_are_over_is_told_by_those_that_are_needed(clock: Clock) -> None:
     site = Site("a", a={"big": 4, "middle": 9, "small": 14})
-    heads = [s for s in site.fleet.of_service(SERVICE) if s.facts.held and s.facts.first == 0]
+    heads = [s for s in site.fleet.of_service(SERVICE) if s.facts.layer_count and s.facts.first == 0]
     assert len(heads) > 1
     for number, head in enumerate(heads):
         site.fleet.set_rest(head, REST + number)
--- a/tests/test_staying_streams.py
+++ b/tests/test_staying_streams.py
@@ -22,7 +22,7 @@
 def end(scene: Scene, stage: Any) -> None:
     """Let a stage be known to have ended, and nobody else have its layers."""
     assert scene.fleet.mark_suspect(stage, "ended")
-    stage.refused = True
+    stage.connection_refused = True
     for other in others(scene):
         other.excluded = "not loaded yet"
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -18,7 +18,7 @@
 from bayglade.relay import MAX_UNREACHED, Attempts
 from bayglade.retries import RetryBudget
 from bayglade.runs import LEAVE_SPREAD_SECONDS, Run, leave_planned
-from bayglade.servers import SURE_SECONDS
+from bayglade.servers import ENDED_AFTER_SECONDS
 from bayglade.streams import GLANCE_SECONDS, SHORT_SECONDS, _note_failure
 from tests.test_tiling import SERVICE, pipeline, placed, servers
 
@@ -269,7 +269,7 @@
     dead_head(scene)
     scene.budget.floor = scene.budget.fraction = 0.0
     look_into(scene)
-    scene.at += SURE_SECONDS
+    scene.at += ENDED_AFTER_SECONDS
     with pytest.raises(BackendError):
         look_into(scene)
 
@@ -295,7 +295,7 @@
     silent.suspect_since = scene.at
     look_into(scene)
     assert len(scene.rerouted) == 1
-    scene.at += SURE_SECONDS
+    scene.at += ENDED_AFTER_SECONDS
     with pytest.raises(BackendError):
         look_into(scene)
 
--- a/tests/test_tiling.py
+++ b/tests/test_tiling.py
@@ -227,7 +227,8 @@
         facts = server.facts
         for layer in range(facts.first, facts.last):
             rooms[layer] += (
-                model.token_room(facts.accelerator or "", facts.held, facts.held) / model.typical_tokens
+                model.token_room(facts.accelerator or "", facts.layer_count, facts.layer_count)
+                / model.typical_tokens
             )
     return rooms
 
@@ -262,7 +263,7 @@
     model = pipeline()
     held = placed(servers(a={"big": 4, "middle": 9, "small": 14}), model)
     lost = held[0].facts
-    length = lost.held
+    length = lost.layer_count
     empty = msgspec.structs.replace(lost, id=BackendId("new"), first=0, last=0)
     span = fill_empty([s.facts for s in held[1:]], [empty], model)[empty.id]
     assert span.length <= length
@@ -318,5 +319,5 @@
 def test_chains_of_like_speed_are_of_like_size() -> None:
     model = three_speeds()
     held = placed(servers(a={"slow": 22}), model)
-    lengths = {server.facts.held for server in held}
+    lengths = {server.facts.layer_count for server in held}
     assert max(lengths) - min(lengths) <= 1
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -35,7 +35,9 @@
         rng = random.Random(seed)
         self.quarantine = Quarantine(b"key", rng)
         self.peers: Any = SimpleNamespace(fleet=self.fleet, quarantine=self.quarantine, rng=rng)
-        self.heads = [s for s in self.fleet.of_service(SERVICE) if s.facts.held and s.facts.first == 0]
+        self.heads = [
+            s for s in self.fleet.of_service(SERVICE) if s.facts.layer_count and s.facts.first == 0
+        ]
 
     def suspect(self, body: bytes) -> Any:
         asked = call(body, service=SERVICE, deadline=now() + 20.0)
@@ -121,7 +123,7 @@
             return False
         server = self.daemon.fleet.servers[backend]
         if backend in self.ended:
-            server.refused = True
+            server.connection_refused = True
             self.daemon.quarantine.server_ended(server.facts.key)
         return backend not in self.ended
 
@@ -134,7 +136,7 @@
         for number in range(ends):
             daemon.quarantine.broke_off(asked, start(number), None)
             daemon.quarantine.server_ended(start(number))
-        path = [server for server in daemon.fleet.of_service(SERVICE) if server.facts.held][:4]
+        path = [server for server in daemon.fleet.of_service(SERVICE) if server.facts.layer_count][:4]
         probes = Probes(daemon, {path[2].facts.id}, {path[3].facts.id})
         daemon.peers.links = probes
         examined: list[Server] = []
