--- a/bayglade/fleet.py
+++ b/bayglade/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: backend servers as the platform lists them and as calls find them."""
+"""The fleet: all backend servers that the platform lists, with the state that this daemon keeps of them."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
@@ -13,28 +13,29 @@
 from bayglade.tombstones import Tombstones
 
 SUSPECT_SECONDS = 1.0
-"""First time that a server which failed gets nothing; doubled at each failure in a row."""
+"""Seconds for which a plain server that failed gets no requests; doubled at each consecutive failure."""
 MAX_SUSPECT_SECONDS = 8.0
 MAX_SUSPECT_FRACTION = 0.5
-"""Part of a service's servers that may be suspect at once: a common cause must not take all."""
+"""Largest fraction of a service's servers that may be suspect at once, so that a common cause does not
+exclude all of them."""
 MIN_PACE_CHANGE = 0.2
-"""Changes of a server's pace below this are noise."""
+"""Smaller changes of a server's pace are ignored as noise."""
 LAPSE_GRACE_SECONDS = 1.9
-"""Seconds after the store's return in which a missing entry may come back: the users say two,
-and work that goes to a server that is gone must end by then."""
+"""Seconds after an outage of the store in which a missing entry may come back. The users require that no
+more requests go to a removed server two seconds after the store's return."""
 
 DEFAULT_EXPIRY_SECONDS = 4.6
-"""Three heartbeats of a server, and a second for the removal of its entry to be known."""
+"""Three heartbeats of a server, and one second until the removal of its entry is known."""
 
 MAX_KNOWN_INCARNATIONS = 10_000
-"""Servers whose newest start is remembered, those that are gone among them: several times as many as
-the largest fleet has."""
+"""Number of servers, including removed ones, whose newest incarnation is remembered: several times the
+size of the largest fleet."""
 
 
 class Fleet:
-    """All backend servers, by service.
+    """All backend servers, by id and by service.
 
-    :param expiry: seconds after which the platform removes the entry of a server that does not write it.
+    :param expiry: seconds after which the platform removes an entry that its server no longer renews.
     """
 
     def __init__(self, expiry: float = DEFAULT_EXPIRY_SECONDS) -> None:
@@ -43,28 +44,29 @@
         self.by_service: dict[ServiceName, list[Server]] = {}
         self.lapsed: set[BackendId] = set()
         self.newest_incarnations: dict[BackendId, Incarnation] = {}
-        """The newest start known of each server, also of those that are gone."""
+        """The newest known incarnation of each server, including removed ones."""
 
         self.tombstones = Tombstones()
         self.rate_limits = RateLimits(self.servers)
 
         self.on_restart: list[Callable[[BackendId], None]] = []
-        """Told of each server that started again under its id: what is known of it no longer holds."""
+        """Called with the id of each server that has restarted, to discard what was known about it."""
 
         self.on_ended: Callable[[ServerKey], None] = lambda start: None
-        """Told of each start of a server that has ended, as a later one is there."""
+        """Called with each incarnation of a server that has ended, because a later one exists."""
 
         self.on_unlisted: Callable[[Server], None] = lambda server: None
-        """Told of each server that is no longer listed and did not say that it leaves; it may serve on."""
+        """Called with each server that was removed from the list without announcing that it leaves. It may
+        still be running."""
 
         self.on_leaving_announced: Callable[[Server], None] = lambda server: None
-        """Told of each server that said in an answer that it leaves."""
+        """Called with each server that announced in an answer that it leaves."""
 
         self.last_added_at = 0.0
-        """When a server was listed that was not known before."""
+        """When a server or a new incarnation of one was last added."""
 
         self.change_count = 0
-        """Grows with each change that may make another path better."""
+        """Incremented at each change that may make another path better."""
 
     def __repr__(self) -> str:
         return f"<Fleet {len(self.servers)} servers>"
@@ -74,19 +76,19 @@
         return self.by_service.get(service, [])
 
     def usable(self, service: ServiceName) -> list[Server]:
-        """List the servers of a service that may get new work."""
+        """List the servers of a service that may get new requests now."""
         at = now()
         return [server for server in self.of_service(service) if server.usable(at)]
 
     def healthy(self, service: ServiceName) -> list[Server]:
-        """List the servers of a service that may get new work, or could but for their rest or limit."""
+        """List the servers of a service without a known fault, including those at rest or rate-limited."""
         at = now()
         return [server for server in self.of_service(service) if server.healthy(at)]
 
     def seconds_until_available(self, service: ServiceName) -> float | None:
-        """Return when the first server takes a request that takes none now for its rest or its limit.
+        """Return the time until a server that is at rest or rate-limited takes a request again.
 
-        :return: seconds; nothing when that is not what keeps requests from servers.
+        :return: seconds until the first of them does; nothing if there is none.
         """
         at = now()
         ends = [server.available_at(at) - at for server in self.healthy(service)]
@@ -99,13 +101,14 @@
         outage: bool,
         invalid: Mapping[BackendId, str] | None = None,
     ) -> None:
-        """Take in news of the list.
+        """Apply changes of the list.
 
-        :param listed: servers that are new or changed.
+        :param listed: entries that are new or changed.
         :param gone: entries that were removed.
-        :param outage: whether the store was away just now, so that entries lapsed of themselves.
-        :param invalid: entries that no server wrote, with what is wrong: such an entry names no server
-            to use, and what runs on the server whose entry it was may end there.
+        :param outage: whether the store has just been unavailable, so that entries may have expired
+            although their servers are running.
+        :param invalid: entries that cannot have been written by their server, with the reason. Their
+            servers get no new requests, but finish those that they run.
         """
         for backend, reason in (invalid or {}).items():
             self._exclude(backend, reason)
@@ -122,12 +125,12 @@
         invalid: Mapping[BackendId, str] | None = None,
         restored: bool = False,
     ) -> None:
-        """Take in the whole list.
+        """Replace the whole list.
 
         :param listed: all entries.
-        :param outage: whether the store was away just now.
-        :param invalid: entries that no server wrote, with what is wrong.
-        :param restored: whether the list is of a store that came back from an older copy.
+        :param outage: whether the store has just been unavailable.
+        :param invalid: entries that cannot have been written by their server, with the reason.
+        :param restored: whether the list comes from a store that was restored from an older copy.
         """
         entries = list(listed)
         for facts in entries if restored else ():
@@ -136,15 +139,16 @@
         self.apply_changes(entries, missing, outage, invalid)
 
     def accept_report(self, server: Server, incarnation: Incarnation, first: int, last: int) -> bool:
-        """Take in which start of a server a report comes from, and what that holds.
+        """Check which incarnation of a server a report comes from.
+
+        A report of a later incarnation replaces the server that was asked. A report of an earlier one,
+        or one that arrives after the server was replaced, is to be ignored.
 
         :param server: the server that was asked.
-        :param incarnation: the start that answered.
+        :param incarnation: the incarnation that answered.
         :param first: the first layer that it holds.
-        :param last: the layer after the last.
-        :return: whether the report is of the server that was asked. One of a later start ends what is
-            known of the earlier one; one of an earlier start, or that comes when the server has
-            started again, tells nothing.
+        :param last: the layer after the last one that it holds.
+        :return: whether the report is about the server that was asked.
         """
         current = self.servers.get(server.facts.id)
         if current is not None and current is not server:
@@ -162,23 +166,23 @@
         return False
 
     def find_current(self, key: ServerKey) -> Server | None:
-        """Return a server if word of it is of its present start.
+        """Return a server if a key names its current incarnation.
 
-        :param key: the start that another daemon tells of.
+        :param key: the server and the incarnation that another daemon reports on.
         """
         server = self.servers.get(key.backend)
         return server if server is not None and server.facts.key == key else None
 
     def find_superseded(self, key: ServerKey) -> Server | None:
-        """Return a server if word of it is of a later start than the one known here.
+        """Return a server if a key names a later incarnation than the one known here.
 
-        :param key: the start that another daemon tells of.
+        :param key: the server and the incarnation that another daemon reports on.
         """
         server = self.servers.get(key.backend)
         return server if server is not None and server.facts.incarnation < key.incarnation else None
 
     def drop_lapsed(self) -> None:
-        """Drop entries that lapsed in an outage and did not come back in time."""
+        """Remove servers whose entries expired in an outage of the store and did not come back in time."""
         lapsed, self.lapsed = self.lapsed, set()
         for backend in lapsed:
             self._drop(backend)
@@ -186,11 +190,11 @@
             self._rebuild()
 
     def mark_suspect(self, server: Server, reason: str) -> bool:
-        """Give a server nothing for a while, unless too many are suspect already.
+        """Send a server no requests for a while, unless too many of its service are suspect already.
 
         :param server: the server that failed.
-        :param reason: what was seen.
-        :return: whether it is suspect now.
+        :param reason: the failure, for the log.
+        :return: whether the server is now suspect.
         """
         at = now()
         server.failures += 1
@@ -210,7 +214,7 @@
         return True
 
     def clear_suspicion(self, server: Server, reason: str) -> None:
-        """End the suspicion of a server."""
+        """Mark a server as no longer suspect."""
         server.suspect = False
         server.connection_refused = False
         server.suspect_until = 0.0
@@ -218,14 +222,14 @@
         event("INFO", "server trusted", peer=server.facts.id, reason=reason)
 
     def update_pace(self, server: Server, pace: float) -> None:
-        """Note how slow a server says it is; a clear change makes other paths better."""
+        """Store the pace that a server reports, if it has changed noticeably."""
         if abs(pace - server.pace) > MIN_PACE_CHANGE:
             event("INFO", "server pace", peer=server.facts.id, before=server.pace, pace=pace)
             server.pace = pace
             self.change_count += 1
 
     def mark_leaving(self, server: Server, reason: str) -> None:
-        """Give a server nothing more: it said itself that it leaves, or another took its address."""
+        """Send a server no more requests, because it is leaving or another server has its address."""
         if server.leaving:
             return
         server.leaving = True
@@ -233,23 +237,24 @@
         event("INFO", "server leaving", peer=server.facts.id, reason=reason)
 
     def announce_leaving(self, server: Server, source: str) -> None:
-        """Give a server nothing more, and have others told: it said in an answer that it leaves.
+        """Mark a server that announced in an answer that it leaves, and have other daemons told.
 
-        :param server: the start of the server that said so.
-        :param source: which answer, for the log.
+        :param server: the incarnation of the server that answered.
+        :param source: the kind of answer, for the log.
         """
         if not server.leaving:
             self.mark_leaving(server, source)
             self.on_leaving_announced(server)
 
     def set_rest(self, server: Server, seconds: float) -> None:
-        """Give a server nothing for as long as it asked for.
+        """Send a server no requests for as long as it asked for.
 
-        A server that refuses has the least under way, and would be chosen again at once.
+        Otherwise a server that refuses requests would be chosen again at once, since it has the fewest
+        in flight.
 
-        :param server: the start of the server that asked.
-        :param seconds: for how long, from now on. A shorter rest asked for later does not end one: the
-            server may tell each caller another time, and each holds.
+        :param server: the incarnation of the server that asked.
+        :param seconds: how long, from now on. A shorter rest asked for later does not shorten this one:
+            the server may name a different time in each refusal, and each of them holds.
         """
         until = now() + seconds
         if until > server.rest_until:
@@ -257,14 +262,14 @@
             event("INFO", "server rests", peer=server.facts.id, seconds=seconds)
 
     def record_success(self, server: Server) -> None:
-        """Note a whole answer."""
+        """Record that a server sent a complete answer."""
         server.failures = 0
         server.connection_refused = False
 
     def _list(self, facts: ServerFacts) -> None:
         newest = self.newest_incarnations.get(facts.id, UNKNOWN_INCARNATION)
         if facts.incarnation == UNKNOWN_INCARNATION < newest:
-            self._exclude(facts.id, "it does not say when it started, and did before")
+            self._exclude(facts.id, "the entry no longer says when the server started")
             return
         if facts.incarnation < newest:
             event("INFO", "older entry ignored", peer=facts.id, start=facts.incarnation, newest=newest)
@@ -276,7 +281,7 @@
             and server.facts.key == facts.key
             and facts.write_count < server.facts.write_count
         ):
-            # A store that came back from an older copy: what the server wrote since holds.
+            # The store was restored from an older copy: what the server has written since then is valid.
             event("INFO", "older entry ignored", peer=facts.id, writes=facts.write_count)
             return
         if server is None:
@@ -291,17 +296,21 @@
             server.excluded = None
         if facts.leaving and not server.leaving:
             event("INFO", "server leaving", peer=facts.id, reason="listed")
-        # What said that it leaves comes back by a new start alone.
+        # Only a new incarnation makes a server that announced its leaving usable again.
         server.leaving = server.leaving or facts.leaving
         if server.suspect and (facts.first, facts.last) != (server.facts.first, server.facts.last):
-            # It writes its row itself, so it lives and holds what that says.
+            # The server itself writes the row, so it is running and holds the layers named there.
             self.clear_suspicion(server, "its row has changed")
         if facts.write_count > server.facts.write_count:
             server.unconfirmed_until = 0.0
         server.facts = facts
 
     def _add_unconfirmed(self, facts: ServerFacts) -> None:
-        """Use an entry of a server that was gone for nothing until it is known to be the server's own."""
+        """Add a removed server whose entry is back, but don't use it until the entry is confirmed.
+
+        The entry is confirmed when the server writes it again, or when the platform keeps it for the
+        expiry time.
+        """
         if facts.id in self.servers or facts.key not in self.tombstones.known:
             return
         self._add(facts)
@@ -322,8 +331,9 @@
             self.newest_incarnations.pop(next(gone, facts.id))
 
     def _restart(self, before: Server, facts: ServerFacts, source: str) -> None:
-        """Put a server that started again in the place of its earlier start, which is dead."""
-        # Requests there are moved or sent anew at once, and it counts no longer towards their bound.
+        """Replace a server that has restarted by its new incarnation."""
+        # A server that has long been suspect counts as ended: its requests are moved or sent again at once,
+        # and it no longer counts towards the number of servers that a call may be sent to.
         before.suspect, before.suspect_since = True, float("-inf")
         if not before.leaving:
             self.on_ended(before.facts.key)
@@ -341,7 +351,7 @@
             forget(facts.id)
 
     def _exclude(self, backend: BackendId, reason: str) -> None:
-        """Use a server for nothing new until its own entry is back."""
+        """Send a server no new requests until its entry is valid again."""
         server = self.servers.get(backend)
         if server is not None and server.excluded is None:
             server.excluded, server.excluded_at = reason, now()
--- a/bayglade/servers.py
+++ b/bayglade/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers: what the platform's list says of one, and what a daemon knows of it."""
+"""Backend servers: what the platform's list says about one, and the state that a daemon keeps of it."""
 
 import msgspec
 
@@ -14,25 +14,26 @@
 from bayglade.pipelines import Pipeline
 
 ENDED_AFTER_SECONDS = 1.0
-"""A stage that was silent for so long, though asked again, is taken to have ended. A link that is
-busy with a large document holds answers up for some tenths of a second."""
+"""Seconds of silence, despite repeated probes, after which a stage is considered ended. On a link that is
+busy with a large document, answers are delayed by some tenths of a second."""
 REFUSAL_TIME_CONSTANT = 5.0
-"""Time constant in which a refusal is forgotten: longer than the rests that servers ask for, 3 s, or each
-rest would end with a call that is lost; short enough that a server is used again some seconds later."""
+"""Time constant, in seconds, with which refusals are forgotten. It is longer than the rest that servers ask
+for, 3 s, or each rest would end with a lost call, and short enough that a server is used again some
+seconds later."""
 SLOW_PACE = 1.5
-"""A server that says it is so many times slower than usual is asked again whether it still is."""
+"""A server that reports being more than this many times slower than usual is asked for new reports."""
 TOKEN_DELAY_SECONDS = 0.01
-"""Until a request to a server with a limit is lent: the way to another daemon and back."""
+"""Seconds until a token for a rate-limited server is granted: the round trip to another daemon."""
 EXCLUDED_LAYOUT_SECONDS = 3.0
-"""For how long a server keeps its layers in layouts while its entry is not its own: it writes its entry
-anew within a heartbeat, 1.2 s on the users' platform, and a reload would take longer."""
+"""For how long layouts still count on a server whose entry is invalid. The server rewrites its entry within
+a heartbeat, 1.2 s on the users' platform, and loading its layers elsewhere would take longer."""
 
 
 class ServerFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform's list says of a backend server.
+    """What the platform's list says about a backend server.
 
-    ``first`` and ``last`` are the layers ``[first, last)`` that it holds; a
-    server of a plain service, or one that is empty, holds none.
+    ``first`` and ``last`` are the layers ``[first, last)`` that it holds; an
+    empty server, or one of a plain service, holds none.
     """
 
     id: BackendId
@@ -45,83 +46,89 @@
     first: int = 0
     last: int = 0
     weights_version: int = 0
-    """Version of the weights it holds."""
+    """Version of the weights that it holds."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
     write_count: int = 0
-    """How often this start had written its entry."""
+    """How many times this incarnation has written its entry."""
 
     @property
     def key(self) -> ServerKey:
-        """Return which start of which server these tell of."""
+        """Return the id and the incarnation of the server."""
         return ServerKey(self.id, self.incarnation)
 
     @property
     def layer_count(self) -> int:
-        """Return how many layers it holds."""
+        """Return the number of layers that it holds."""
         return self.last - self.first
 
     def fits(self, pipeline: Pipeline) -> bool:
-        """Tell whether its kind and its layers are those of a model."""
+        """Tell whether its accelerator and its layers are valid for a model."""
         return self.accelerator in pipeline.accelerators and self.last <= pipeline.layers
 
 
 class RateLimit(msgspec.Struct, frozen=True):
-    """What is known of the rate limit of one start of a server."""
+    """What is known about the rate limit of one incarnation of a server."""
 
     rate: float | None
-    """Requests a second from all daemons together; nothing when it names no limit any more."""
+    """Requests per second from all daemons together; nothing if it no longer names a limit."""
 
     seen_at: float
-    """When the answer came that said so, here or at another daemon, in monotonic seconds."""
+    """When the answer that named it arrived, here or at another daemon, in monotonic seconds."""
 
 
 class Throttle:
-    """What this daemon may send to a server that names a limit; times are monotonic seconds."""
+    """This daemon's permission to send requests to a rate-limited server; times are monotonic seconds.
+
+    Each request needs a token, which the daemon that keeps the server's limit grants.
+    """
 
     __slots__ = ("contenders", "requesting", "retry_at", "token", "token_expires_at")
 
     def __init__(self) -> None:
         self.requesting = False
-        """Whether a request is being asked for."""
+        """Whether a token is being requested."""
 
         self.token = False
-        """Whether one was lent that is not sent yet."""
+        """Whether a token was granted and not used yet."""
 
         self.token_expires_at = 0.0
         self.retry_at = 0.0
-        """When there may be one to lend again."""
+        """When the next token may be available."""
 
         self.contenders = 1
-        """Daemons that divide the limit among them, this one included."""
+        """How many daemons share the limit, including this one."""
 
     def __repr__(self) -> str:
         return f"<Throttle token={self.token} retry_at={self.retry_at:.2f}>"
 
     def has_token(self, at: float) -> bool:
-        """Tell whether a request may go out."""
+        """Tell whether a request may be sent now."""
         return self.token and at < self.token_expires_at
 
     def available_at(self, at: float) -> float:
-        """Return when the next request may go out at the earliest."""
+        """Return the earliest time at which the next request may be sent."""
         return at if self.has_token(at) else max(self.retry_at, at + TOKEN_DELAY_SECONDS)
 
     def grant(self, until: float) -> None:
-        """Take in a request that may be sent until a time."""
+        """Store a token that is valid until a time."""
         self.token, self.token_expires_at = True, until
 
     def take(self, at: float) -> bool:
-        """Use the request that was lent; tell whether there was one."""
+        """Use the token; tell whether there was a valid one."""
         had, self.token = self.has_token(at), False
         return had
 
     def return_token(self) -> None:
-        """Note that a request that was taken did not go out."""
+        """Return a token that was taken for a request which was not sent."""
         self.token = True
 
 
 class Server:
-    """One backend server as this daemon knows it; times are monotonic seconds."""
+    """The state of one incarnation of a backend server; times are monotonic seconds.
+
+    "Own requests" are those that this daemon sent.
+    """
 
     __slots__ = (
         "cached",
@@ -148,94 +155,93 @@
     def __init__(self, facts: ServerFacts) -> None:
         self.facts = facts
         self.in_flight = 0
-        """Own requests whose first stage it is; for a plain service, all own requests."""
+        """Own requests for which it is the first stage; for a plain service, all own requests."""
 
         self.cached = 0.0
-        """What own requests have in its KV cache, in tokens times layers, as far as can be told."""
+        """Estimated KV cache that own requests use, in tokens times layers."""
 
         self.excluded: str | None = None
-        """Why its entry names no server to use; nothing while the entry is its own."""
+        """Why its entry is invalid; nothing while the entry is valid."""
 
         self.excluded_at = 0.0
         self.unconfirmed_until = 0.0
-        """Until when its entry may be one that the platform only has from an older copy of its list."""
+        """Until when its entry may be a stale one from an older copy of the store."""
 
         self.unanswered = 0
-        """Own requests whose first stage it is, and which it has not begun to answer."""
+        """Own requests for which it is the first stage and has not begun to answer."""
 
         self.failures = 0
         self.suspect = False
-        """Set for a stage until it answers again."""
+        """Set for a stage that failed, until it answers again."""
 
         self.connection_refused = False
-        """Set when nobody listened at its address, until it answers again."""
+        """Set when its address refused a connection, until it answers again."""
 
         self.suspect_since = 0.0
         self.suspect_until = 0.0
-        """Set for a server of a plain service, which has no report to ask for."""
+        """Until when a server of a plain service is suspect, as it has no report to ask for."""
 
         self.refusals = Decayed(REFUSAL_TIME_CONSTANT)
-        """Requests that it turned away lately; a plain server counts as that much busier.
-
-        Calls that may go to one server only are lost when that one refuses, and one that refuses has the
-        least under way.
+        """Recent requests that it refused. A plain server counts as that much busier, because a call that
+        may be tried on only one server is lost when that one refuses it, and a refusing server has the
+        fewest requests in flight.
         """
 
         self.full_until = 0.0
-        """Until when it is taken to have no room, after it turned a request away."""
+        """Until when it is considered full after it refused a request."""
 
         self.rest_until = 0.0
-        """Until when it wants no requests of this daemon, by its own word."""
+        """End of the rest that it asked for, a time in which this daemon sends it no requests."""
 
         self.rate_limit: RateLimit | None = None
-        """What is known of its rate limit; nothing when it never named one."""
+        """What is known about its rate limit; nothing if it has never named one."""
 
         self.throttle: Throttle | None = None
-        """Set while it names a limit."""
+        """Set while it names a rate limit."""
 
         self.leaving = facts.leaving
         self.pace = 1.0
-        """How many times slower than usual it said it is."""
+        """How many times slower than usual it reported to be."""
 
     def __repr__(self) -> str:
         return f"<Server {self.facts.id} {self.facts.first}-{self.facts.last} in_flight={self.in_flight}>"
 
     def healthy(self, at: float) -> bool:
-        """Tell whether nothing is wrong with it; it may take no request now all the same."""
+        """Tell whether no fault of it is known; a rest or a rate limit may still keep requests from it."""
         if self.leaving or self.suspect or self.excluded is not None:
             return False
         return at >= max(self.suspect_until, self.unconfirmed_until)
 
     def resting(self, at: float) -> bool:
-        """Tell whether it asked for a rest that is not over."""
+        """Tell whether it asked for a rest that has not ended."""
         return at < self.rest_until
 
     def available_at(self, at: float) -> float:
-        """Return when it takes the next request of this daemon, as far as its rest and its limit go."""
+        """Return when its rest and its rate limit allow the next request of this daemon."""
         if self.throttle is None:
             return max(at, self.rest_until)
         return max(self.rest_until, self.throttle.available_at(at))
 
     def usable(self, at: float) -> bool:
-        """Tell whether new work may go there."""
+        """Tell whether new requests may be sent to it now."""
         if at < self.rest_until or not self.healthy(at):
             return False
         return self.throttle is None or self.throttle.has_token(at)
 
     def counts_for_layout(self, at: float) -> bool:
-        """Tell whether a layout counts on it and its layers."""
+        """Tell whether layouts count on it and its layers."""
         if self.leaving or self.suspect or at < self.unconfirmed_until:
             return False
         return self.excluded is None or at - self.excluded_at < EXCLUDED_LAYOUT_SECONDS
 
     def has_ended(self, at: float) -> bool:
-        """Tell whether it is surely gone, and not just out of reach for a moment."""
+        """Tell whether it has certainly ended or is leaving, rather than being unreachable for a moment."""
         if self.leaving or self.connection_refused:
             return True
         return self.suspect and at - self.suspect_since >= ENDED_AFTER_SECONDS
 
     def state(self) -> str:
-        """Return in a word how it stands."""
+        """Return its state as one word."""
         if self.leaving:
             return "leaving"
         if self.excluded is not None:
