--- a/bayglade/backends.py
+++ b/bayglade/backends.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of each backend server: load, speed, health and limit."""
+"""State that a daemon keeps of each backend server: load, speed, health and concurrency limit."""
 
 import random
 
@@ -9,24 +9,28 @@
 from bayglade.ids import BackendId, ModelName, Version
 from bayglade.settings import Backend, Tree
 
-FIRST_LIMIT = 4.0
+INITIAL_LIMIT = 4.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 512.0
-LIMIT_DECREASE = 0.85
+LIMIT_DECREASE_FACTOR = 0.85
 DECREASE_INTERVAL = 0.5
-MAX_WAITING_PART = 0.25
-"""Part of a server's slots that may wait there before the limit falls."""
+MAX_WAITING_FRACTION = 0.25
+"""Number of requests that may wait at a server, as a fraction of its slots, before its limit is lowered."""
 FAILURES_TO_EJECT = 1
 EJECT_SECONDS = 1.0
 MAX_EJECT_SECONDS = 15.0
 MAX_EJECTED_FRACTION = 0.5
-RAMP_LIMIT = 1.0
-FIRST_SECONDS_PER_LAYER = 0.001
+LIMIT_AFTER_EJECTION = 1.0
+INITIAL_SECONDS_PER_LAYER = 0.001
 LEARNING_RATE = 0.2
 
 
 class BackendState:
-    """One backend server, as this daemon knows it; times are monotonic seconds."""
+    """The state of one backend server; times are monotonic seconds.
+
+    ``limit`` is the number of requests that this daemon may have in flight there.
+    It adapts to the server's load, up to ``ceiling``.
+    """
 
     __slots__ = (
         "ceiling",
@@ -46,14 +50,14 @@
         self.id = backend_id
         self.facts = facts
         self.in_flight = 0
-        self.limit = FIRST_LIMIT
+        self.limit = INITIAL_LIMIT
         self.ceiling = MAX_LIMIT
         self.decreased_at = 0.0
         self.failures = 0
         self.ejected_until = 0.0
         self.leaving = False
         self.reported: Load | None = None
-        self.seconds_per_layer = FIRST_SECONDS_PER_LAYER
+        self.seconds_per_layer = INITIAL_SECONDS_PER_LAYER
 
     def __repr__(self) -> str:
         return (
@@ -62,17 +66,17 @@
         )
 
     def usable(self, at: float) -> bool:
-        """Tell whether new work may go there at all."""
+        """Tell whether it may get new requests at all."""
         return not self.leaving and at >= self.ejected_until
 
     def versions(self) -> tuple[Version, ...]:
-        """Return the versions it serves: by its own word, else by the settings."""
+        """Return the versions that it serves according to its report, or else to the settings."""
         if self.reported is None or not (self.reported.versions or self.reported.loading):
             return (self.facts.version,)
         return tuple(self.reported.versions)
 
-    def hold(self, version: Version) -> None:
-        """Take in another daemon's word that the server holds just one version by now."""
+    def set_version(self, version: Version) -> None:
+        """Store that, according to another daemon, the server now holds exactly one version."""
         if self.reported is not None:
             reported = msgspec.structs.replace(self.reported, versions=[version], loading=False)
             self.reported = reported
@@ -87,7 +91,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.part = 1.0
+        self.share = 1.0
         self.states: dict[BackendId, BackendState] = {}
         self.by_model: dict[ModelName, list[BackendState]] = {}
 
@@ -95,7 +99,7 @@
         return f"<Backends {len(self.states)}>"
 
     def sync(self, tree: Tree) -> None:
-        """Take in a new revision; what was learned of a server stays.
+        """Apply a new revision of the settings, keeping the state of unchanged servers.
 
         :param tree: the settings now in force.
         """
@@ -114,8 +118,8 @@
         """List the servers that hold layers of a version of a model."""
         return [state for state in self.by_model.get(model, ()) if version in state.versions()]
 
-    def failed(self, backend_id: BackendId) -> None:
-        """Note a failure; the server is ejected for a while unless too many are.
+    def record_failure(self, backend_id: BackendId) -> None:
+        """Record a failure and eject the server for a while, unless too many are ejected already.
 
         :param backend_id: the server that failed.
         """
@@ -123,17 +127,17 @@
         if state is None:
             return
         state.failures += 1
-        state.limit = max(MIN_LIMIT, state.limit * LIMIT_DECREASE)
+        state.limit = max(MIN_LIMIT, state.limit * LIMIT_DECREASE_FACTOR)
         if state.failures < FAILURES_TO_EJECT or not self._may_eject(state):
             return
         seconds = min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2 ** (state.failures - 1))
         state.ejected_until = now() + seconds * self.rng.uniform(0.8, 1.2)
-        state.limit = RAMP_LIMIT
+        state.limit = LIMIT_AFTER_EJECTION
 
-    def succeeded(self, backend_id: BackendId) -> None:
-        """Note a whole answer.
+    def record_success(self, backend_id: BackendId) -> None:
+        """Record that a server took part in a complete answer.
 
-        :param backend_id: the server that took part.
+        :param backend_id: the server.
         """
         state = self.states.get(backend_id)
         if state is None:
@@ -141,15 +145,16 @@
         state.failures = 0
         if state.in_flight < int(state.limit):
             return
-        # Back to what is known to fit quickly, beyond it by one a round.
+        # Up to a ceiling given by the server's slots, the limit grows by one per answer; without one, by
+        # about one per round of answers.
         step = 1.0 if state.limit < state.ceiling < MAX_LIMIT else 1.0 / state.limit
         state.limit = min(state.ceiling, state.limit + step)
 
-    def report(self, backend_id: BackendId, load: Load) -> None:
-        """Take in what a server says of itself.
+    def apply_report(self, backend_id: BackendId, load: Load) -> None:
+        """Apply what a server reports about itself.
 
         :param backend_id: the server.
-        :param load: its report; work waiting there means the limit is too high.
+        :param load: its report. Requests waiting there mean that the limit is too high.
         """
         state = self.states.get(backend_id)
         if state is None:
@@ -157,21 +162,21 @@
         first = state.reported is None
         state.reported = load
         self._set_ceiling(state)
-        if first and state.limit >= FIRST_LIMIT:
+        if first and state.limit >= INITIAL_LIMIT:
             state.limit = state.ceiling
         if load.leaving:
             state.leaving = True
         at = now()
-        if load.waiting > load.slots * MAX_WAITING_PART and at - state.decreased_at > DECREASE_INTERVAL:
-            state.limit = max(MIN_LIMIT, state.limit * LIMIT_DECREASE)
+        if load.waiting > load.slots * MAX_WAITING_FRACTION and at - state.decreased_at > DECREASE_INTERVAL:
+            state.limit = max(MIN_LIMIT, state.limit * LIMIT_DECREASE_FACTOR)
             state.decreased_at = at
 
-    def divide(self, part: float) -> None:
-        """Take in which part of every server this daemon may fill.
+    def set_share(self, share: float) -> None:
+        """Set the share of every server's slots that this daemon may use.
 
-        :param part: between 0 and 1, see :mod:`bayglade.division`.
+        :param share: between 0 and 1, see :mod:`bayglade.division`.
         """
-        self.part = part
+        self.share = share
         for state in self.states.values():
             self._set_ceiling(state)
 
@@ -179,19 +184,19 @@
         if state.reported is None:
             return
         before = state.ceiling
-        state.ceiling = min(MAX_LIMIT, max(MIN_LIMIT, float(round(state.reported.slots * self.part))))
+        state.ceiling = min(MAX_LIMIT, max(MIN_LIMIT, float(round(state.reported.slots * self.share))))
         if state.limit >= before:
-            # It stood at its ceiling: it moves along.
+            # The limit was at its ceiling, and stays there.
             state.limit = state.ceiling
 
-    def learn(self, layers: dict[BackendId, int], seconds_per_token: float) -> None:
-        """Learn the speed of the servers of a route from one answer.
+    def learn_speed(self, layers: dict[BackendId, int], seconds_per_token: float) -> None:
+        """Update the speed estimates of the servers of a route after an answer.
 
-        A normalised least-mean-squares step: the error of the prediction is
-        shared out by the number of layers that each server ran.
+        This is one step of normalized least mean squares: the prediction error is
+        distributed in proportion to the number of layers that each server ran.
 
-        :param layers: how many layers each server ran.
-        :param seconds_per_token: what was measured for the whole route.
+        :param layers: the number of layers that each server ran.
+        :param seconds_per_token: the time measured for the whole route.
         """
         states = [(self.states[i], n) for i, n in layers.items() if i in self.states]
         predicted = sum(state.seconds_per_layer * n for state, n in states)
--- a/bayglade/completions.py
+++ b/bayglade/completions.py
@@ -181,18 +181,18 @@
             raise BackendError("the answer is short", step="stream", peer=route.stages[0].backend)
         answer.reason = EndReason.LENGTH if frame.reason == EndReason.LENGTH.value else EndReason.STOP
         if frame.load is not None:
-            self.admission.backends.report(route.stages[0].backend, frame.load)
+            self.admission.backends.apply_report(route.stages[0].backend, frame.load)
         return True
 
     def _learn(self, request: Completion, route: Route, tokens: int, seconds: float) -> None:
         for stage in route.stages:
-            self.admission.backends.succeeded(stage.backend)
+            self.admission.backends.record_success(stage.backend)
         if not tokens:
             return
         speed = self.admission.speed((request.model, request.version))
         speed.learn(seconds / tokens)
         layers = {stage.backend: stage.last - stage.first for stage in route.stages}
-        self.admission.backends.learn(layers, seconds / tokens)
+        self.admission.backends.learn_speed(layers, seconds / tokens)
 
     def _correct_charge(self, request: Completion, tokens: int) -> None:
         unused = request.max_tokens - tokens
@@ -253,9 +253,9 @@
         if isinstance(error, BackendRefused) and state is not None:
             load = self.engines.load(state.facts.address)
             if load is not None:
-                self.admission.backends.report(backend, load)
+                self.admission.backends.apply_report(backend, load)
                 return
-        self.admission.backends.failed(backend)
+        self.admission.backends.record_failure(backend)
 
     def _fence(self, request: Completion, attempt: AttemptNumber, route: Route) -> None:
         message = engine_wire.Cancel(request.id, attempt)
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -255,7 +255,7 @@
                 states[backend].leaving = True
         for held in beat.held:
             if held.backend in states:
-                states[held.backend].hold(held.version)
+                states[held.backend].set_version(held.version)
 
     def _place(self) -> None:
         """Give the orders of placement that fall to this daemon, for ever."""
@@ -283,7 +283,7 @@
                 eventlet.sleep(1.0 / PROBES_PER_SECOND)
                 load = self.engines.load(state.facts.address)
                 if load is not None:
-                    self.router.backends.report(state.id, load)
+                    self.router.backends.apply_report(state.id, load)
                 if load is not None and load.leaving:
                     self.own_leaving.add(state.id)
                 elif load is not None:
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -345,7 +345,7 @@
             self.links.forget(set(self.fleet.servers))
             self.quarantine.tidy()
             self._gauge()
-            self.listing.tell_behind(self.document_feed.age())
+            self.listing.log_staleness(self.document_feed.age())
             if _changed_at(self.path) != self.changed_at:
                 self.reload("the file changed")
 
--- a/bayglade/models.py
+++ b/bayglade/models.py
@@ -1,4 +1,4 @@
-"""Requests as the daemon works on them, whatever wire they came by."""
+"""Requests and routes as the daemon handles them, independent of the protocol of the caller."""
 
 from enum import Enum
 
@@ -13,14 +13,14 @@
 
 
 class EndReason(Enum):
-    """Why an answer is whole."""
+    """Why a complete answer ended."""
 
     LENGTH = "length"
     STOP = "stop"
 
 
 class Request(msgspec.Struct, kw_only=True):
-    """What every request has; ``deadline`` is in monotonic seconds."""
+    """Attributes that all requests have; ``deadline`` is in monotonic seconds."""
 
     id: RequestId
     account: AccountName
@@ -34,7 +34,7 @@
         return f"<{type(self).__name__} {self.id} of {self.group!r}>"
 
     def seconds_left(self) -> float:
-        """Return the seconds until the deadline; negative when it has passed."""
+        """Return the seconds until the deadline; negative if it has passed."""
         return self.deadline - now()
 
 
@@ -48,7 +48,7 @@
 
     @property
     def cost(self) -> float:
-        """Tokens that this request may take: prompt and answer."""
+        """Return the tokens that this request may take, prompt and answer."""
         return len(self.prompt) / CHARACTERS_PER_TOKEN + self.max_tokens
 
 
--- a/bayglade/placement.py
+++ b/bayglade/placement.py
@@ -187,7 +187,7 @@
             load = self.engines.load(self.backends.states[backend].facts.address)
             if load is None:
                 continue
-            self.backends.report(backend, load)
+            self.backends.apply_report(backend, load)
             order = self.accepted.get(backend)
             if order is not None and tuple(load.versions) == (order.version,):
                 order.confirmed, order.at = True, now()
--- a/bayglade/reports.py
+++ b/bayglade/reports.py
@@ -1,9 +1,9 @@
-"""Reports of stages found silent, or answering again, as daemons pass them on.
+"""Reports among daemons, called findings, that a stage is silent or that it answers again.
 
-One daemon finds a stage, and all have to know of it; if each then looked for
-itself, one dead server would be asked once a daemon. So a report names who found
-it: a few daemons look for themselves, and what two of them found alone is taken
-for true by the others.
+One daemon detects this first, and all have to know of it. If each of them then
+probed the stage itself, a dead server would get one probe per daemon. So a
+finding names the daemon that made it: a few daemons probe the stage themselves,
+and what two daemons found independently is believed by all others.
 """
 
 from collections.abc import Iterable
@@ -12,64 +12,65 @@
 from bayglade.entries.wire import Finding
 from bayglade.ids import BackendId, MemberId
 
-LOOKERS = 6
-"""Daemons that look for themselves at a stage that one other found silent, on average."""
-ENOUGH = 2
-"""Daemons that have to find a stage silent before it is believed unseen: the link of one may be full."""
-MOST_TOLD = 3
-"""Findings of one server that are passed on: one more than is believed, should one get lost."""
-REPORT_SECONDS = 2.5
-"""How long a report counts."""
+PROBING_DAEMONS = 6
+"""Average number of daemons that probe a stage themselves after another daemon found it silent."""
+FINDERS_TO_BELIEVE = 2
+"""Number of daemons that must find a stage silent before others believe it without a probe. One alone may
+have a congested link."""
+MAX_FORWARDED = 3
+"""Number of findings about one server that are forwarded: one more than needed, in case one gets lost."""
+FINDING_SECONDS = 2.5
+"""Seconds for which a finding counts."""
 
 
-class Reports:
-    """The reports of one kind that a daemon has heard or made; times are monotonic."""
+class HeardFindings:
+    """The findings of one kind that a daemon has received or made; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.heard: dict[BackendId, dict[MemberId, float]] = {}
-        """When each daemon reported a server, unless the contrary was found since."""
+        """When each daemon's finding about a server arrived, unless the opposite was found since."""
 
-        self.passed: dict[BackendId, dict[MemberId, tuple[int, float]]] = {}
-        """Number and time of each daemon's last report of a server, whatever was found since: one that is
-        new again because of a contrary one would be passed on again, and the two would go round for
-        ever."""
+        self.last_numbers: dict[BackendId, dict[MemberId, tuple[int, float]]] = {}
+        """Number and time of each daemon's last finding about a server, whatever was found since. Without
+        them, a finding would seem new again after its opposite and be forwarded again, and the two would
+        circulate forever."""
 
     def __repr__(self) -> str:
-        return f"<Reports of {len(self.heard)} servers>"
+        return f"<HeardFindings of {len(self.heard)} servers>"
 
     def add(self, findings: Iterable[Finding]) -> list[Finding]:
-        """Take in reports.
+        """Add findings.
 
-        :param findings: the reports.
-        :return: those that are new here and worth passing on.
+        :param findings: the findings.
+        :return: those that are new here and should be forwarded.
         """
         at = now()
         fresh = []
         for finding in findings:
-            passed = self.passed.setdefault(finding.backend, {})
-            number, passed_at = passed.get(finding.finder, (-1, float("-inf")))
-            if finding.number <= number and at - passed_at < REPORT_SECONDS:
+            numbers = self.last_numbers.setdefault(finding.backend, {})
+            number, received_at = numbers.get(finding.finder, (-1, float("-inf")))
+            if finding.number <= number and at - received_at < FINDING_SECONDS:
                 continue
-            passed[finding.finder] = (finding.number, at)
+            numbers[finding.finder] = (finding.number, at)
             self.heard.setdefault(finding.backend, {})[finding.finder] = at
-            if self._count(finding.backend) <= MOST_TOLD:
+            if self._count(finding.backend) <= MAX_FORWARDED:
                 fresh.append(finding)
         return fresh
 
-    def enough(self, backend: BackendId) -> bool:
-        """Tell whether so many daemons found the same of a server that it is believed."""
-        return self._count(backend) >= ENOUGH
+    def is_believed(self, backend: BackendId) -> bool:
+        """Tell whether enough daemons have found the same about a server."""
+        return self._count(backend) >= FINDERS_TO_BELIEVE
 
     def forget(self, backend: BackendId) -> None:
-        """Drop the reports of a server: the contrary was found."""
+        """Drop the findings about a server, because the opposite was found."""
         self.heard.pop(backend, None)
 
-    def restarted(self, backend: BackendId) -> None:
-        """Drop all that was told of a server: it has started again."""
+    def server_restarted(self, backend: BackendId) -> None:
+        """Drop everything known about a server, because it has restarted."""
         self.forget(backend)
-        self.passed.pop(backend, None)
+        self.last_numbers.pop(backend, None)
 
     def _count(self, backend: BackendId) -> int:
-        """Return how many daemons reported a server lately."""
-        oldest = now() - REPORT_SECONDS
+        """Return how many daemons have a recent finding about a server."""
+        oldest = now() - FINDING_SECONDS
         return sum(1 for at in self.heard.get(backend, {}).values() if at >= oldest)
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -88,7 +88,7 @@
             heard,
             self.trust.member_count(),
         )
-        self.backends.divide(part)
+        self.backends.set_share(part)
 
     def claim(self, request: Request, body_sha256: str) -> Claim | StoredAnswer | None:
         """Claim a request that may not be repeated.
--- a/bayglade/spreading.py
+++ b/bayglade/spreading.py
@@ -14,7 +14,7 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, Fingerprint, MemberId, ServerKey
 from bayglade.quarantine import Quarantine
-from bayglade.reports import LOOKERS, Reports
+from bayglade.reports import PROBING_DAEMONS, HeardFindings
 from bayglade.servers import Server
 
 NEWS_SECONDS = 0.01
@@ -70,11 +70,11 @@
         quarantine.on_break = self._tell_break
         fleet.rate_limits.on_news = self._tell_limits
         fleet.on_leaving_announced = self._tell_leaving
-        self.dead = Reports()
-        self.back = Reports()
+        self.dead = HeardFindings()
+        self.back = HeardFindings()
         diagnosis.on_dead = self._found_dead
         diagnosis.on_back = self._found_back
-        fleet.on_restart += [self.dead.restarted, self.back.restarted]
+        fleet.on_restart += [self.dead.server_restarted, self.back.server_restarted]
 
     def __repr__(self) -> str:
         return f"<Spreading {self.dead!r} {self.back!r}>"
@@ -181,9 +181,9 @@
         told = [known[backend] for backend in backends if backend in known and not known[backend].suspect]
         for server in told:
             self.back.forget(server.facts.id)
-            if self.dead.enough(server.facts.id):
+            if self.dead.is_believed(server.facts.id):
                 self.fleet.mark_suspect(server, "others found it silent")
-        likely = LOOKERS / self.daemons()
+        likely = PROBING_DAEMONS / self.daemons()
         looked_at = [server for server in told if not server.suspect and self.rng.random() < likely]
         if looked_at:
             eventlet.spawn_n(self.diagnosis.examine, looked_at)
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -58,7 +58,7 @@
 
     def tell(self) -> None:
         for state in self.backends.states.values():
-            self.backends.report(state.id, self.load(state.facts.address))
+            self.backends.apply_report(state.id, self.load(state.facts.address))
 
 
 def test_a_request_of_which_nothing_ran_takes_the_version_that_is_served_now() -> None:
@@ -79,7 +79,7 @@
     }
     admission.sync(Tree(models={GUIDE: Model(layers=8, version=NEW)}, backends=servers))
     for backend in servers:
-        backends.report(backend, wire.Load(0, 0, SLOTS, versions=[OLD]))
+        backends.apply_report(backend, wire.Load(0, 0, SLOTS, versions=[OLD]))
     engines = Rolling(backends)
     trust = cast(Trust, SimpleNamespace(check=lambda: None))
     completions = Completions(cast(Engines, engines), admission, trust, Metrics(None), rng)
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -35,8 +35,8 @@
     last=4,
     running=0,
     queued=0,
-    used=0,
-    total=1,
+    cache_used=0,
+    cache_total=1,
     pace=1.0,
     stalled={},
 )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -71,41 +71,41 @@
 def test_a_failing_server_is_ejected_and_comes_back_slowly(monkeypatch):
     held, _ = made(4)
     at = clock.now()
-    held.failed(BackendId("e0"))
+    held.record_failure(BackendId("e0"))
     ejected = held.states[BackendId("e0")]
     assert not ejected.usable(at)
     monkeypatch.setattr(backends_module, "now", lambda: at + 60)
-    assert ejected.usable(at + 60) and ejected.limit == backends_module.RAMP_LIMIT
+    assert ejected.usable(at + 60) and ejected.limit == backends_module.LIMIT_AFTER_EJECTION
 
 
 def test_a_common_cause_does_not_eject_all():
     held, _ = made(4)
     for backend in list(held.states):
-        held.failed(backend)
+        held.record_failure(backend)
     at = clock.now()
     assert sum(state.usable(at) for state in held.states.values()) >= 2
 
 
 def test_the_only_server_is_never_ejected():
     held, _ = made(1)
-    held.failed(BackendId("e0"))
+    held.record_failure(BackendId("e0"))
     assert held.states[BackendId("e0")].usable(clock.now())
 
 
 def test_a_limit_follows_the_slots_and_falls_when_work_waits_there():
     held, _ = made(1)
     one = held.states[BackendId("e0")]
-    held.report(one.id, Load(running=0, waiting=0, slots=16))
+    held.apply_report(one.id, Load(running=0, waiting=0, slots=16))
     assert one.limit == 16
-    held.divide(0.25)
+    held.set_share(0.25)
     assert one.limit == 4
-    held.report(one.id, Load(running=16, waiting=8, slots=16))
-    assert one.limit == pytest.approx(4 * backends_module.LIMIT_DECREASE)
+    held.apply_report(one.id, Load(running=16, waiting=8, slots=16))
+    assert one.limit == pytest.approx(4 * backends_module.LIMIT_DECREASE_FACTOR)
 
 
 def test_what_was_learned_of_a_server_outlives_a_new_revision():
     held, tree = made(2)
-    held.learn({BackendId("e0"): 12}, 0.5)
+    held.learn_speed({BackendId("e0"): 12}, 0.5)
     learned = held.states[BackendId("e0")].seconds_per_layer
     held.sync(tree)
     assert held.states[BackendId("e0")].seconds_per_layer == learned
@@ -114,7 +114,7 @@
 def test_speeds_of_two_servers_are_told_apart():
     held, _ = made(2)
     for _ in range(200):
-        held.learn({BackendId("e0"): 6, BackendId("e1"): 6}, 6 * 0.004 + 6 * 0.001)
-        held.learn({BackendId("e0"): 12}, 12 * 0.004)
+        held.learn_speed({BackendId("e0"): 6, BackendId("e1"): 6}, 6 * 0.004 + 6 * 0.001)
+        held.learn_speed({BackendId("e0"): 12}, 12 * 0.004)
     assert held.states[BackendId("e0")].seconds_per_layer == pytest.approx(0.004, rel=0.05)
     assert held.states[BackendId("e1")].seconds_per_layer == pytest.approx(0.001, rel=0.1)
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -8,7 +8,13 @@
 from bayglade.entries.wire import Finding, Findings
 from bayglade.ids import BackendId, MemberId
 from bayglade.quarantine import Quarantine
-from bayglade.reports import ENOUGH, LOOKERS, MOST_TOLD, REPORT_SECONDS, Reports
+from bayglade.reports import (
+    FINDERS_TO_BELIEVE,
+    FINDING_SECONDS,
+    MAX_FORWARDED,
+    PROBING_DAEMONS,
+    HeardFindings,
+)
 from bayglade.spreading import Spreading
 from tests.test_diagnosis import Stages, diagnose
 
@@ -22,22 +28,22 @@
 def test_what_enough_daemons_found_is_believed_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(reports, "now", lambda: at)
-    heard = Reports()
+    heard = HeardFindings()
     assert heard.add([finding("a")]) == [finding("a")]
     assert heard.add([finding("a")]) == []
-    assert not heard.enough(BackendId("s"))
-    for n in range(ENOUGH):
+    assert not heard.is_believed(BackendId("s"))
+    for n in range(FINDERS_TO_BELIEVE):
         heard.add([finding(f"b{n}")])
-    assert heard.enough(BackendId("s"))
-    at += REPORT_SECONDS + 0.1
-    assert not heard.enough(BackendId("s"))
+    assert heard.is_believed(BackendId("s"))
+    at += FINDING_SECONDS + 0.1
+    assert not heard.is_believed(BackendId("s"))
     assert heard.add([finding("a")]) == [finding("a")]
 
 
 def test_findings_beyond_those_believed_are_not_passed_on() -> None:
-    heard = Reports()
+    heard = HeardFindings()
     passed = [n for n in range(20) if heard.add([finding(f"d{n}")])]
-    assert len(passed) == MOST_TOLD
+    assert len(passed) == MAX_FORWARDED
 
 
 def spread(
@@ -79,7 +85,7 @@
     assert told == []
 
 
-@pytest.mark.parametrize(("daemons", "looks"), [(LOOKERS, 200), (10 * LOOKERS, 20)])
+@pytest.mark.parametrize(("daemons", "looks"), [(PROBING_DAEMONS, 200), (10 * PROBING_DAEMONS, 20)])
 def test_few_of_many_daemons_look_for_themselves(
     daemons: int, looks: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -87,7 +93,7 @@
     asked: list[object] = []
     monkeypatch.setattr(spreading.eventlet, "spawn_n", lambda act, servers: asked.append(servers))
     for _ in range(200):
-        made.dead.restarted(BackendId("s1"))
+        made.dead.server_restarted(BackendId("s1"))
         made.heard(OTHER, dead("s1", "a"))
     assert looks / 2 <= len(asked) <= looks * 2
 
