--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -42,7 +42,7 @@
 from bayglade.retries import RetryBudget
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
-from tests.test_tiling import SERVICE, pipeline, placed, servers
+from tests.test_tiling import SERVICE, pipeline, place_servers, servers
 
 WAIT = 0.05
 """How long new calls wait for room here, in seconds."""
@@ -62,7 +62,7 @@
         monkeypatch.setattr(streams, "_note_answer", lambda *_: None)
         self.model = pipeline()
         self.fleet = Fleet()
-        held = placed(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
+        held = place_servers(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
         self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.budget = RetryBudget(floor=100.0)
         self.wait_queues = WaitQueues(Usage(), lambda group: (0, 1.0))
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -16,7 +16,7 @@
 from bayglade.pipelines import Demand, Pipeline
 from bayglade.pipes import MAX_PIPE_USE, UNKNOWN_CROSSING_MS, Pipes
 from bayglade.servers import Server
-from tests.test_tiling import SERVICE, holding, pipeline, placed, servers, three_speeds
+from tests.test_tiling import SERVICE, pipeline, place_servers, servers, servers_holding, three_speeds
 
 TWO_HALLS = {"a": {"big": 3, "middle": 3, "small": 5}, "b": {"big": 1, "middle": 5, "small": 8}}
 USUAL = Demand(770.0, 140.0)
@@ -40,7 +40,7 @@
     def __init__(self, hall: str, **halls: dict[str, int]) -> None:
         self.model = model_with_pipes()
         self.fleet = Fleet()
-        held = placed(servers(**(halls or TWO_HALLS)), self.model)
+        held = place_servers(servers(**(halls or TWO_HALLS)), self.model)
         self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.paths = Paths(self.fleet, HallName(hall))
 
@@ -245,7 +245,7 @@
     found = [
         server
         for kind, spans in (("big", quick), ("middle", slow))
-        for server in holding([(first, min(12, first + length)) for first, length in spans], kind)
+        for server in servers_holding([(first, min(12, first + length)) for first, length in spans], kind)
     ]
     demand = Demand(4000.0, 0.0)
     search = Search(model, demand, lambda server: server.cached)
@@ -278,7 +278,7 @@
     site = Site("a")
     site.model = three_speeds()
     site.fleet = Fleet()
-    held = placed(servers(a={"quick": 3, "fair": 14, "slow": 16}), site.model)
+    held = place_servers(servers(a={"quick": 3, "fair": 14, "slow": 16}), site.model)
     site.fleet.apply_changes([server.facts for server in held], [], outage=False)
     site.paths = Paths(site.fleet, HallName("a"))
     return site
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -20,7 +20,7 @@
 from bayglade.runs import LEAVE_SPREAD_SECONDS, Run, leave_planned
 from bayglade.servers import ENDED_AFTER_SECONDS
 from bayglade.streams import GLANCE_SECONDS, SHORT_SECONDS, _note_failure
-from tests.test_tiling import SERVICE, pipeline, placed, servers
+from tests.test_tiling import SERVICE, pipeline, place_servers, servers
 
 
 class Scene:
@@ -32,7 +32,7 @@
         monkeypatch.setattr(streams, "now", lambda: self.at)
         self.model = pipeline()
         self.fleet = Fleet()
-        held = placed(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
+        held = place_servers(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
         self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.budget = RetryBudget(floor=100.0)
         self.rerouted: list[Any] = []
@@ -228,7 +228,7 @@
 ) -> None:
     scene = Scene(monkeypatch)
     # Another hall can begin the answer.
-    held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
+    held = place_servers(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
     scene.fleet.apply_changes([server.facts for server in held], [], outage=False)
     scene.call.once = once
     scene.run.begun = begun
@@ -242,7 +242,7 @@
 
 def dead_head(scene: Scene, begun: bool = True) -> None:
     """Let the first stage of the stream be found silent."""
-    held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
+    held = place_servers(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
     scene.fleet.apply_changes([server.facts for server in held], [], outage=False)
     scene.call.seconds_left = lambda: 10.0
     scene.run.begun = begun
--- a/tests/test_tiling.py
+++ b/tests/test_tiling.py
@@ -1,4 +1,5 @@
-"""Tiling and paths: all layers once and in order, inside memory, also when servers are lost."""
+"""Layouts, repair and paths: paths cover all layers once and in order, servers stay within their memory,
+and the loss of servers is tolerated."""
 
 import time
 from collections.abc import Sequence
@@ -55,12 +56,12 @@
 
 
 def search(model: Pipeline) -> Search:
-    """Search for a usual request while nothing else runs."""
+    """Return a search for a request of typical size that counts only what the servers' caches hold."""
     return Search(model, model.typical_request(), lambda server: server.cached)
 
 
 def paths_of(held: Sequence[Server], model: Pipeline) -> list[Path]:
-    """Return the path of each hall, and one over halls that have none of their own."""
+    """Return the path of each hall, and one across the halls that have no path of their own."""
     halls = by_hall(held)
     found = {hall: find_path(each, search(model)) for hall, each in halls.items()}
     others = [server for hall, each in halls.items() if found[hall] is None for server in each]
@@ -70,7 +71,7 @@
     return [*paths, mixed] if mixed is not None else paths
 
 
-def holding(spans: Sequence[tuple[int, int]], kind: str = "big") -> list[Server]:
+def servers_holding(spans: Sequence[tuple[int, int]], kind: str = "big") -> list[Server]:
     """Return servers of one hall that hold these layers."""
     listed = servers(a={kind: len(spans)})
     return [
@@ -79,7 +80,7 @@
     ]
 
 
-def placed(listed: list[ServerFacts], model: Pipeline) -> list[Server]:
+def place_servers(listed: list[ServerFacts], model: Pipeline) -> list[Server]:
     spans = tile_fleet(listed, model)
     return [
         Server(msgspec.structs.replace(f, first=spans[f.id].first, last=spans[f.id].last))
@@ -89,7 +90,7 @@
 
 
 HALLS = {
-    "one quick hall": {"a": {"big": 3, "middle": 3, "small": 5}},
+    "one fast hall": {"a": {"big": 3, "middle": 3, "small": 5}},
     "slow hall": {"a": {"big": 1, "middle": 5, "small": 8}},
     "three halls": {
         "a": {"big": 3, "middle": 3, "small": 5},
@@ -103,10 +104,10 @@
 
 
 @pytest.mark.parametrize("name", HALLS)
-def test_every_hall_that_can_holds_the_model(name: str) -> None:
+def test_every_hall_with_enough_memory_holds_the_model(name: str) -> None:
     model = pipeline()
     listed = servers(**HALLS[name])
-    held = placed(listed, model)
+    held = place_servers(listed, model)
     paths = paths_of(held, model)
     assert paths
     for path in paths:
@@ -137,7 +138,7 @@
         assert model.free_mb(facts.accelerator, span.length) > 0 or span.length == 0
 
 
-def test_a_card_that_cannot_hold_a_layer_is_left_out() -> None:
+def test_an_accelerator_too_small_for_a_layer_is_left_out() -> None:
     model = pipeline(8, 15_000.0)
     listed = servers(a={"big": 4, "middle": 2, "small": 3})
     spans = tile_fleet(listed, model)
@@ -147,14 +148,14 @@
 def test_most_servers_can_be_lost_without_losing_a_layer() -> None:
     model = pipeline()
     for kinds in ({"big": 3, "middle": 3, "small": 5}, {"big": 1, "middle": 5, "small": 8}):
-        held = placed(servers(a=kinds), model)
+        held = place_servers(servers(a=kinds), model)
         spared = [s for s in held if find_path([o for o in held if o is not s], search(model))]
         assert len(spared) >= len(held) / 2
 
 
 def test_an_empty_server_goes_where_layers_are_missing() -> None:
     model = pipeline()
-    held = [s.facts for s in placed(servers(a={"big": 3, "middle": 3, "small": 5}), model)]
+    held = [s.facts for s in place_servers(servers(a={"big": 3, "middle": 3, "small": 5}), model)]
     lost = next(f for f in held if f.id == "a-middle-0")
     rest = [f for f in held if f is not lost]
     empty = msgspec.structs.replace(lost, id=BackendId("a-middle-new"), first=0, last=0)
@@ -169,7 +170,7 @@
     each = count // 50
     halls = {f"h{n}": {"big": each, "middle": 2 * each, "small": 2 * each} for n in range(10)}
     began = time.process_time()
-    held = placed(servers(**halls), model)
+    held = place_servers(servers(**halls), model)
     paths = paths_of(held, model)
     assert time.process_time() - began < limit
     assert len({path.hall for path in paths}) == 10
@@ -178,9 +179,9 @@
 @pytest.mark.parametrize(
     "kinds", [{"big": 3, "middle": 3, "small": 5}, {"big": 1, "middle": 5, "small": 8}]
 )
-def test_any_one_loss_is_mended_by_moving_few_servers(kinds: dict[str, int]) -> None:
+def test_any_single_loss_is_repaired_by_moving_few_servers(kinds: dict[str, int]) -> None:
     model = pipeline()
-    held = [s.facts for s in placed(servers(a=kinds), model)]
+    held = [s.facts for s in place_servers(servers(a=kinds), model)]
     for lost in held:
         rest = [f for f in held if f is not lost]
         spans = repair(rest, model)
@@ -194,9 +195,9 @@
         assert len(spans) <= 3
 
 
-def test_mending_leaves_servers_alone_whose_layers_nobody_else_holds() -> None:
+def test_repair_does_not_move_the_only_holders_of_a_layer() -> None:
     model = pipeline()
-    held = [s.facts for s in placed(servers(a={"big": 1, "middle": 5, "small": 8}), model)]
+    held = [s.facts for s in place_servers(servers(a={"big": 1, "middle": 5, "small": 8}), model)]
     rest = [f for f in held if f.id != "a-big-0"]
     spans = repair(rest, model)
     for facts in rest:
@@ -206,22 +207,22 @@
             assert spans[facts.id].last >= facts.last
 
 
-def test_nothing_is_mended_where_nothing_is_missing() -> None:
+def test_nothing_is_repaired_where_no_layer_is_missing() -> None:
     model = pipeline()
-    held = [s.facts for s in placed(servers(a={"big": 3, "middle": 3, "small": 5}), model)]
+    held = [s.facts for s in place_servers(servers(a={"big": 3, "middle": 3, "small": 5}), model)]
     assert repair(held, model) == {}
 
 
-def test_an_empty_server_goes_where_fewest_hold() -> None:
+def test_an_empty_server_goes_where_layers_have_fewest_holders() -> None:
     model = pipeline(layers=60)
-    held = [server.facts for server in holding([(0, 60)] * 3 + [(0, 30)])]
+    held = [server.facts for server in servers_holding([(0, 60)] * 3 + [(0, 30)])]
     empty = servers(b={"small": 1})[0]
     span = fill_empty(held, [empty], model)[empty.id]
     assert span.first >= 30
 
 
-def room_of_layers(held: Sequence[Server], model: Pipeline) -> list[float]:
-    """Return the usual requests that all holders of each layer have room for."""
+def requests_fitting_per_layer(held: Sequence[Server], model: Pipeline) -> list[float]:
+    """Return for each layer how many requests of typical size fit on all of its holders."""
     rooms = [0.0] * model.layers
     for server in held:
         facts = server.facts
@@ -233,13 +234,15 @@
     return rooms
 
 
-def test_several_chains_of_a_hall_hold_few_layers_a_server_and_many_requests() -> None:
+def test_several_chains_of_a_hall_leave_room_for_many_requests() -> None:
     model = msgspec.structs.replace(pipeline(), typical_prompt=770, typical_answer=140)
-    held = placed(servers(a={"big": 4, "middle": 9, "small": 14}), model)
+    held = place_servers(servers(a={"big": 4, "middle": 9, "small": 14}), model)
     holders = [sum(s.facts.first <= layer < s.facts.last for s in held) for layer in range(model.layers)]
     assert min(holders) >= 2
-    # Pairs would leave less than the wanted room on the quick ones.
-    assert min(room_of_layers(held, model)) > 2 * 1.5 * model.token_capacity / model.typical_tokens
+    # With pairs, the fast servers would have less than the configured token capacity.
+    assert (
+        min(requests_fitting_per_layer(held, model)) > 2 * 1.5 * model.token_capacity / model.typical_tokens
+    )
 
 
 @pytest.mark.parametrize(
@@ -252,16 +255,16 @@
 )
 def test_no_layer_of_a_hall_has_much_less_room_than_memory_allows(kinds: dict[str, int]) -> None:
     model = msgspec.structs.replace(pipeline(), typical_prompt=770, typical_answer=140)
-    held = placed(servers(a=kinds), model)
+    held = place_servers(servers(a=kinds), model)
     memory = sum(model.accelerators[s.facts.accelerator or ""].memory_mb for s in held)
-    # What one copy of all layers leaves, if it could be shared out evenly.
+    # The memory left by one copy of all layers, if it could be divided evenly.
     ideal = (memory - model.layers * model.layer_mb) / model.token_mb / model.typical_tokens
-    assert min(room_of_layers(held, model)) >= 0.6 * min(ideal, 96.0)
+    assert min(requests_fitting_per_layer(held, model)) >= 0.6 * min(ideal, 96.0)
 
 
-def test_a_server_that_comes_back_holds_no_more_than_its_kind_does() -> None:
+def test_a_returning_server_holds_no_more_than_others_of_its_kind() -> None:
     model = pipeline()
-    held = placed(servers(a={"big": 4, "middle": 9, "small": 14}), model)
+    held = place_servers(servers(a={"big": 4, "middle": 9, "small": 14}), model)
     lost = held[0].facts
     length = lost.layer_count
     empty = msgspec.structs.replace(lost, id=BackendId("new"), first=0, last=0)
@@ -269,18 +272,18 @@
     assert span.length <= length
 
 
-THREE_SPEEDS = {
+THREE_SPEED_KINDS = {
     "quick": Accelerator(memory_mb=72_000, step_factor=2.4, read_factor=3.2),
     "fair": Accelerator(memory_mb=14_400, step_factor=5.3, read_factor=7.9),
     "slow": Accelerator(memory_mb=21_600, step_factor=16.0, read_factor=8.2),
 }
-USUAL_LOAD = 45
-"""Requests at once of a hall: 40 a second of 228 tokens each, at some 5 ms a token."""
+TYPICAL_LOAD = 45
+"""Concurrent requests of a hall: 40 per second with 228 tokens each, at about 5 ms per token."""
 
 
 def three_speeds() -> Pipeline:
     return msgspec.structs.replace(
-        pipeline(), accelerators=THREE_SPEEDS, step_ms=1.02, typical_prompt=764, typical_answer=228
+        pipeline(), accelerators=THREE_SPEED_KINDS, step_ms=1.02, typical_prompt=764, typical_answer=228
     )
 
 
@@ -292,13 +295,11 @@
         ({"quick": 2, "fair": 24, "slow": 9}, 8.0),
     ],
 )
-def test_the_usual_load_of_a_hall_stays_on_its_quickest_servers(
-    kinds: dict[str, int], most_ms: float
-) -> None:
-    # With quick and slow servers in each chain a token took 9 to 19 ms.
+def test_typical_load_of_a_hall_stays_on_its_fastest_servers(kinds: dict[str, int], most_ms: float) -> None:
+    # With fast and slow servers in the same chain, a token took 9 to 19 ms.
     model = three_speeds()
-    held = placed(servers(a=kinds), model)
-    for _ in range(USUAL_LOAD):
+    held = place_servers(servers(a=kinds), model)
+    for _ in range(TYPICAL_LOAD):
         path = find_path(held, search(model))
         assert path is not None
         path.take()
@@ -306,18 +307,18 @@
         assert {s.facts.accelerator for s in path.servers} <= {"quick", "fair"}
 
 
-def test_a_hall_that_loses_its_quickest_servers_still_holds_the_model() -> None:
+def test_a_hall_that_loses_its_fastest_servers_still_holds_the_model() -> None:
     model = three_speeds()
-    held = placed(servers(a={"quick": 3, "fair": 14, "slow": 16}), model)
+    held = place_servers(servers(a={"quick": 3, "fair": 14, "slow": 16}), model)
     left = [server for server in held if server.facts.accelerator != "quick"]
-    for _ in range(USUAL_LOAD):
+    for _ in range(TYPICAL_LOAD):
         path = find_path(left, search(model))
         assert path is not None
         path.take()
 
 
-def test_chains_of_like_speed_are_of_like_size() -> None:
+def test_servers_of_the_same_speed_hold_equally_many_layers() -> None:
     model = three_speeds()
-    held = placed(servers(a={"slow": 22}), model)
+    held = place_servers(servers(a={"slow": 22}), model)
     lengths = {server.facts.layer_count for server in held}
     assert max(lengths) - min(lengths) <= 1
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -15,7 +15,7 @@
 from bayglade.servers import Server
 from bayglade.trials import ENDED_SECONDS, ended_stages, heads_to_avoid, wait_apart
 from tests.test_quarantine import call, start
-from tests.test_tiling import SERVICE, pipeline, placed, servers
+from tests.test_tiling import SERVICE, pipeline, place_servers, servers
 from tests.virtual_time import now, run_virtually
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.fleet = Fleet()
-        held = placed(servers(a={"big": 6, "middle": 9, "small": 14}), pipeline())
+        held = place_servers(servers(a={"big": 6, "middle": 9, "small": 14}), pipeline())
         self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         rng = random.Random(seed)
         self.quarantine = Quarantine(b"key", rng)
