--- a/tests/server_rows.py
+++ b/tests/server_rows.py
@@ -1,4 +1,4 @@
-"""Rows of servers as they write them, for tests of what is read from them."""
+"""Builds rows as servers write them to the store, for tests that decode them."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 from bayglade.servers import ServerFacts
 
 BORN = 1_788_000_000_000
-"""Start of a server, in Unix milliseconds."""
+"""Start time of a server, in Unix milliseconds."""
 
 
 def server_row(**changes: Any) -> dict[str, Any]:
-    """Return a whole row of a server that holds layers, with some fields changed."""
+    """Return a complete row of a server that holds layers, with some fields changed."""
     return {
         "service": "model",
         "addr": "10.0.0.1:8080",
@@ -30,15 +30,15 @@
 
 
 def without(name: str) -> dict[str, Any]:
-    """Return a row that lacks a field."""
+    """Return a row without one of its fields."""
     return {key: value for key, value in server_row().items() if key != name}
 
 
 def packed(row: Any) -> msgspec.Raw:
-    """Return a row as it lies in the store."""
+    """Encode a row as it is stored."""
     return msgspec.Raw(msgspec.json.encode(row))
 
 
 def facts_of(server: str = "s", **changes: Any) -> ServerFacts:
-    """Return what a row with some fields changed says."""
+    """Decode a row with some fields changed."""
     return decode_server(server, packed(server_row(**changes)))
--- a/tests/steps_placement.py
+++ b/tests/steps_placement.py
@@ -1,4 +1,4 @@
-"""The words of the scenarios about placement."""
+"""Steps of the scenarios about version placement."""
 
 import signal
 import threading
@@ -19,7 +19,7 @@
 
 
 def served_by(stage: Stage, key: str) -> str:
-    """Ask once and tell from the tokens which version answered."""
+    """Send one request and return which version answered it, judging by the tokens."""
     status, body = callers.complete(stage.daemons[-1].address, 2, "which", key)
     assert status == 200, body
     text = body["choices"][0]["text"]
@@ -77,8 +77,8 @@
     assert any(stream.right("v2") for stream in stage.streams)
 
 
-def _giver(stage: Stage) -> str:
-    """Wait until a daemon has given an order and return its name."""
+def _order_sender(stage: Stage) -> str:
+    """Wait until a daemon has sent an order and return its name."""
 
     def given() -> str | None:
         logs = {daemon.name: daemon.log.read_text() for daemon in stage.daemons}
@@ -88,22 +88,22 @@
 
 
 @when("the daemon that gives orders is killed")
-def when_giver_killed(stage: Stage) -> None:
-    name = _giver(stage)
+def when_sender_killed(stage: Stage) -> None:
+    name = _order_sender(stage)
     stage.process(name).kill()
     stage.daemons = [daemon for daemon in stage.daemons if daemon.name != name]
 
 
 @when("the daemon that gives orders is frozen")
-def when_giver_frozen(stage: Stage) -> None:
-    stage.last = _giver(stage)
+def when_sender_frozen(stage: Stage) -> None:
+    stage.last = _order_sender(stage)
     stage.process(stage.last).signal(signal.SIGSTOP)
 
 
 @when("the frozen daemon wakes")
-def when_giver_wakes(stage: Stage) -> None:
+def when_sender_wakes(stage: Stage) -> None:
     stage.process(stage.last).signal(signal.SIGCONT)
-    # Awake means that it answers again; then it had its chance to give an old order.
+    # Once it answers again, it has had the opportunity to send an outdated order.
     address = stage.process(stage.last).address
     wait_for("it answers", lambda: callers.complete(address, 1, key=CALLER_KEY)[0] == 200)
 
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -1,4 +1,4 @@
-"""Loading: which daemons look at the placement lease, and when."""
+"""Loading of layers: which daemons check the placement lease, and when."""
 
 import random
 from types import SimpleNamespace
@@ -14,18 +14,20 @@
 
 
 class Site:
-    """Empty servers, and a lease that others hold."""
+    """A loader with empty servers, and a lease that another daemon holds."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, first: bool) -> None:
         self.at = 100.0
         monkeypatch.setattr(loading, "now", lambda: self.at)
-        self.looks = 0
-        self.left = 0.0
+        self.lease_checks = 0
+        self.lease_seconds_left = 0.0
         fleet = Fleet()
         fleet.apply_changes(servers(a={"big": 3, "middle": 3, "small": 5}), [], outage=False)
         fleet.last_added_at = 0.0
         lease: Any = SimpleNamespace(
-            acquire_or_renew=self._keep, seconds_left=lambda: self.left, release=lambda: None
+            acquire_or_renew=self._check_lease,
+            seconds_left=lambda: self.lease_seconds_left,
+            release=lambda: None,
         )
         self.loader = Loader(
             fleet,
@@ -37,46 +39,46 @@
             tries_first=lambda: first,
         )
 
-    def _keep(self) -> bool:
-        self.looks += 1
+    def _check_lease(self) -> bool:
+        self.lease_checks += 1
         return False
 
 
-def test_a_daemon_that_reads_the_store_tries_for_the_lease_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_daemon_that_reads_the_store_checks_the_lease_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=True)
     site.loader.step()
-    assert site.looks == 1
+    assert site.lease_checks == 1
 
 
-def test_other_daemons_try_once_it_was_left_undone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_other_daemons_check_the_lease_after_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=False)
     site.loader.step()
     site.at += FALLBACK_DELAY
     site.loader.step()
-    assert site.looks == 0
+    assert site.lease_checks == 0
     site.at += 0.1
     site.loader.step()
-    assert site.looks == 1
+    assert site.lease_checks == 1
 
 
-def test_of_many_other_daemons_few_try_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_few_of_many_other_daemons_check_the_lease_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=False)
     site.loader.daemons = lambda: 100
     site.loader.step()
     site.at += FALLBACK_DELAY + 0.1
     for _ in range(500):
         site.loader.step()
-    assert 0 < site.looks < 500 * 4 * FALLBACK_DAEMONS_PER_CHECK / 100
+    assert 0 < site.lease_checks < 500 * 4 * FALLBACK_DAEMONS_PER_CHECK / 100
 
 
-def test_a_daemon_that_has_the_lease_keeps_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_daemon_that_holds_the_lease_renews_it(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=False)
-    site.left = 1.0
+    site.lease_seconds_left = 1.0
     site.loader.step()
-    assert site.looks == 1
+    assert site.lease_checks == 1
 
 
-def test_the_wait_counts_anew_once_nothing_was_to_be_done(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_delay_restarts_after_nothing_was_missing(monkeypatch: pytest.MonkeyPatch) -> None:
     site = Site(monkeypatch, first=False)
     site.loader.step()
     wanted = site.loader.wanted_spans
@@ -85,4 +87,4 @@
     site.loader.wanted_spans = wanted  # type: ignore[method-assign]
     site.at += FALLBACK_DELAY + 0.1
     site.loader.step()
-    assert site.looks == 0
+    assert site.lease_checks == 0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,5 @@
-"""Placement and leases: which orders are given, by whom, and what a frozen holder can do."""
+"""Version placement and leases: which orders are sent, by which daemon, and that a suspended lease holder
+can do no harm."""
 
 import msgspec
 import pytest
@@ -35,24 +36,24 @@
     return settings.decode(msgspec.json.encode(tree))
 
 
-def held(tree, version="v1"):
+def reports_of(tree, version="v1"):
     return {backend: VersionReport((Version(version),)) for backend in tree.backends}
 
 
 def test_no_orders_when_all_servers_hold_what_is_wanted():
     tree = tree_with(4)
-    assert next_orders(tree, held(tree)) == []
+    assert next_orders(tree, reports_of(tree)) == []
 
 
-def test_orders_keep_to_the_weight_store_and_to_the_routes():
+def test_orders_respect_the_load_limit_and_keep_routes():
     tree = tree_with(4, ("v2",), loads_at_once=3, keep_part=0.5)
-    orders = next_orders(tree, held(tree))
+    orders = next_orders(tree, reports_of(tree))
     assert len(orders) == 3 and {order.version for order in orders} == {"v2"}
     first = [order for order in orders if order.backend.endswith("-0")]
     assert len(first) <= 2
 
 
-def test_two_wanted_versions_both_get_servers_in_each_range():
+def test_each_wanted_version_gets_servers_in_each_range():
     tree = tree_with(4, ("v1", "v2"))
     assigned = assign_versions(tree)
     for first in (0, 4):
@@ -60,32 +61,32 @@
 
 
 @given(st.integers(1, 6), st.integers(1, 4), st.sampled_from([0.0, 0.5, 0.9]))
-def test_a_roll_ends_and_always_leaves_routes(servers, at_once, keep_part):
+def test_a_rollout_finishes_and_always_leaves_routes(servers, at_once, keep_part):
     tree = tree_with(servers, ("v2",), loads_at_once=at_once, keep_part=keep_part)
-    holdings = held(tree)
+    reports = reports_of(tree)
     for _ in range(100):
-        orders = next_orders(tree, holdings)
+        orders = next_orders(tree, reports)
         if not orders:
             break
         for order in orders:
-            holdings[order.backend] = VersionReport((), loading=True)
-        assert sum(h.loading for h in holdings.values()) <= at_once
+            reports[order.backend] = VersionReport((), loading=True)
+        assert sum(r.loading for r in reports.values()) <= at_once
         for first in (0, 4):
-            serving = [b for b, h in holdings.items() if b.endswith(f"-{first}") and h.versions]
+            serving = [b for b, r in reports.items() if b.endswith(f"-{first}") and r.versions]
             assert serving or servers == 1
         done = orders[0]
-        holdings[done.backend] = VersionReport((done.version,))
+        reports[done.backend] = VersionReport((done.version,))
         for order in orders[1:]:
-            holdings[order.backend] = VersionReport((order.version,))
-    assert all(h.versions == ("v2",) for h in holdings.values())
+            reports[order.backend] = VersionReport((order.version,))
+    assert all(r.versions == ("v2",) for r in reports.values())
 
 
 class FakeTable:
-    """A table in memory whose answers can be lost."""
+    """An in-memory table whose answers can be lost."""
 
     def __init__(self):
         self.rows = {}
-        self.lose = 0
+        self.lost_answers = 0
 
     def read(self, keys):
         return {key: self.rows[key] for key in keys if key in self.rows}
@@ -98,8 +99,8 @@
         for write in transaction.writes:
             row = self.rows.get(write.key)
             self.rows[write.key] = rows.Row((row.version if row else 0) + 1, write.value)
-        if self.lose:
-            self.lose -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise PlatformAnswerLost("lost")
         return rows.TransactionResult(True)
 
@@ -124,7 +125,7 @@
     assert (one.state(), other.state()) == (LeaseState.HELD, LeaseState.HELD_BY_OTHER)
 
 
-def test_a_frozen_holder_has_stopped_before_the_next_begins(clock):
+def test_a_suspended_holder_has_lost_the_lease_before_the_next_one_holds_it(clock):
     _, one, other = two_leases()
     assert one.acquire_or_renew() and not other.acquire_or_renew()
     clock.at += leases.DURATION + leases.TAKEOVER_MARGIN / 2
@@ -135,14 +136,14 @@
     assert not one.acquire_or_renew() and one.seconds_left() < 0
 
 
-def test_a_holder_that_renews_is_not_taken_over(clock):
+def test_a_lease_that_is_renewed_is_not_taken_over(clock):
     _, one, other = two_leases()
     for _ in range(20):
         assert one.acquire_or_renew() and not other.acquire_or_renew()
         clock.at += leases.RENEW_AFTER + 0.1
 
 
-def test_a_released_lease_is_free_at_once_with_a_new_epoch(clock):
+def test_a_released_lease_is_free_at_once_and_gets_a_new_epoch(clock):
     _, one, other = two_leases()
     assert one.acquire_or_renew()
     one.release()
@@ -151,12 +152,12 @@
 
 def test_a_lost_answer_does_not_leave_two_holders(clock):
     table, one, other = two_leases()
-    table.lose = 1
+    table.lost_answers = 1
     assert not one.acquire_or_renew()
     assert not other.acquire_or_renew()
     assert one.acquire_or_renew() and not other.acquire_or_renew()
 
 
-def test_a_version_of_a_group_is_wanted_beside_the_models_own():
+def test_the_version_of_a_group_differs_from_that_of_the_model():
     tree = tree_with(2, ("v1", "v3"))
     assert settings.version_of(tree, GroupPath("khangai"), "guide") == "v3"
