--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,7 +1,7 @@
-"""A server that starts again under its id is a new server: nothing of the earlier start holds.
+"""A server that restarts under its id is a new server, without any state of its earlier incarnation.
 
-One that was listed, said that it leaves and started again under its id was never used again, an
-order to the earlier start was reckoned as under way, and so were its layers, requests and findings.
+Guards against two faults: a server that announced its leaving and then restarted under its id was never
+used again, and orders, layers, requests and findings of the earlier incarnation were attributed to it.
 """
 
 import random
@@ -35,48 +35,48 @@
 LATER = BORN + 5000
 
 
-def listed(**changes: Any) -> Fleet:
+def fleet_with_server(**changes: Any) -> Fleet:
     fleet = Fleet()
     fleet.apply_changes([facts_of(**changes)], [], outage=False)
     return fleet
 
 
-def again(fleet: Fleet, born: int = LATER, outage: bool = False, **changes: Any) -> Server:
-    """Have the server's row say that it started at another time, by default empty."""
+def restart(fleet: Fleet, born: int = LATER, outage: bool = False, **changes: Any) -> Server:
+    """Apply a row with another start time; unless changed, the server holds no layers."""
     fleet.apply_changes([facts_of(born=born, **{"layers": None, **changes})], [], outage)
     return fleet.servers[ID]
 
 
-def test_a_server_that_left_and_starts_again_is_used() -> None:
-    fleet = listed(state="draining")
-    assert again(fleet, layers={"from": 0, "targetVersion": 4, "version": 1}).usable(0.0)
+def test_a_server_that_left_and_restarts_is_used() -> None:
+    fleet = fleet_with_server(state="draining")
+    assert restart(fleet, layers={"from": 0, "targetVersion": 4, "version": 1}).usable(0.0)
 
 
-def test_nothing_known_of_the_earlier_start_holds() -> None:
-    fleet = listed()
+def test_state_of_the_earlier_incarnation_is_discarded() -> None:
+    fleet = fleet_with_server()
     before = fleet.servers[ID]
     before.in_flight, before.cached, before.failures, before.pace = 5, 900.0, 3, 12.0
     before.full_until = 1e9
     fleet.mark_suspect(before, "silent")
-    after = again(fleet)
+    after = restart(fleet)
     assert after is not before
     assert (after.in_flight, after.cached, after.failures, after.pace) == (0, 0.0, 0, 1.0)
     assert (after.suspect, after.full_until, after.facts.layer_count) == (False, 0.0, 0)
 
 
-def test_requests_on_the_earlier_start_are_on_a_dead_server() -> None:
-    fleet = listed()
+def test_the_earlier_incarnation_counts_as_ended() -> None:
+    fleet = fleet_with_server()
     before = fleet.servers[ID]
-    again(fleet)
+    restart(fleet)
     assert before.suspect
     assert before.has_ended(0.0)
 
 
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("outage", [False, True])
-def test_an_older_start_never_replaces_a_newer_one(whole: bool, outage: bool) -> None:
-    fleet = listed()
-    after = again(fleet)
+def test_an_earlier_incarnation_never_replaces_a_later_one(whole: bool, outage: bool) -> None:
+    fleet = fleet_with_server()
+    after = restart(fleet)
     late = [facts_of(state="draining")]
     if whole:
         fleet.apply_snapshot(late, outage)
@@ -86,38 +86,38 @@
     assert not after.leaving
 
 
-def test_an_older_start_does_not_come_back_after_the_newer_one_has_gone() -> None:
-    fleet = listed()
-    again(fleet)
+def test_an_earlier_incarnation_does_not_return_after_the_later_one_was_removed() -> None:
+    fleet = fleet_with_server()
+    restart(fleet)
     fleet.apply_changes([], [ID], outage=False)
     fleet.apply_changes([facts_of()], [], outage=False)
     assert fleet.servers == {}
-    assert again(fleet, LATER + 1).usable(0.0)
+    assert restart(fleet, LATER + 1).usable(0.0)
 
 
-def test_twice_in_a_row_and_both_rows_at_once() -> None:
-    fleet = listed()
+def test_two_restarts_in_one_update_in_the_wrong_order() -> None:
+    fleet = fleet_with_server()
     fleet.apply_changes([facts_of(born=LATER + 1), facts_of(born=LATER)], [], outage=False)
     assert fleet.servers[ID].facts.incarnation == LATER + 1
 
 
-def test_a_start_that_lapsed_in_an_outage_is_not_missed() -> None:
-    fleet = listed()
+def test_an_entry_that_expired_in_an_outage_does_not_remove_the_later_incarnation() -> None:
+    fleet = fleet_with_server()
     fleet.apply_changes([], [ID], outage=True)
-    after = again(fleet, outage=True)
+    after = restart(fleet, outage=True)
     fleet.drop_lapsed()
     assert fleet.servers == {ID: after}
 
 
-def test_a_report_tells_its_start() -> None:
+def test_a_report_names_its_incarnation() -> None:
     report = decode_report(b'{"seq": 3, "busy": false, "born": %d}' % LATER)
     assert report is not None
     assert report.incarnation == LATER
     assert decode_report(b'{"seq": 3, "born": "today"}') is None
 
 
-class AnotherStart(Stages):
-    """Stages that say that they started at another time."""
+class OtherIncarnation(Stages):
+    """Stages that report another incarnation."""
 
     born = LATER
 
@@ -125,36 +125,36 @@
         return msgspec.structs.replace(ALIVE, incarnation=Incarnation(self.born), last=0)
 
 
-def asked(born: int) -> tuple[Fleet, Diagnosis, Server]:
-    fleet, stages = listed(), AnotherStart(set())
+def diagnosis_of(born: int) -> tuple[Fleet, Diagnosis, Server]:
+    fleet, stages = fleet_with_server(), OtherIncarnation(set())
     stages.born = born
     return fleet, Diagnosis(fleet, stages, random.Random(1)), fleet.servers[ID]
 
 
-def test_a_report_of_a_later_start_ends_the_earlier_one() -> None:
-    fleet, diagnosis, before = asked(LATER)
+def test_a_report_of_a_later_incarnation_ends_the_earlier_one() -> None:
+    fleet, diagnosis, before = diagnosis_of(LATER)
     assert diagnosis.examine([before]) == {ID}
     after = fleet.servers[ID]
     assert (after.facts.incarnation, after.facts.layer_count) == (LATER, 0)
     assert before.has_ended(0.0)
-    # Its row, which is late, changes nothing.
+    # The outdated row of the earlier incarnation changes nothing.
     fleet.apply_changes([facts_of()], [], outage=False)
     assert fleet.servers[ID] is after
 
 
-def test_a_report_of_an_earlier_start_is_none() -> None:
-    fleet, diagnosis, before = asked(BORN - 1)
+def test_a_report_of_an_earlier_incarnation_is_ignored() -> None:
+    fleet, diagnosis, before = diagnosis_of(BORN - 1)
     assert diagnosis.examine([before]) == {ID}
     assert fleet.servers[ID] is before
 
 
-def test_an_answer_for_the_earlier_start_says_nothing_of_the_next() -> None:
-    fleet = listed()
+def test_a_late_report_of_the_earlier_incarnation_is_ignored() -> None:
+    fleet = fleet_with_server()
     before = fleet.servers[ID]
 
     class Slow(Stages):
         def report(self, backend: BackendId, address: str, timeout: float) -> Any:
-            again(fleet)
+            restart(fleet)
             return msgspec.structs.replace(ALIVE, incarnation=Incarnation(BORN), pace=9.0)
 
     diagnosis = Diagnosis(fleet, Slow(set()), random.Random(1))
@@ -164,7 +164,7 @@
 
 
 def spreading_of(fleet: Fleet) -> tuple[Spreading, Stages]:
-    stages = AnotherStart(set())
+    stages = OtherIncarnation(set())
     diagnosis = Diagnosis(fleet, stages, random.Random(1))
     told: list[Findings] = []
     made = Spreading(
@@ -184,9 +184,9 @@
     return Findings(dead=[Finding(ID, MemberId(finder), Incarnation(born))])
 
 
-def test_what_others_found_of_an_earlier_start_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet = listed()
-    after = again(fleet, layers={"from": 0, "targetVersion": 4, "version": 1})
+def test_findings_about_an_earlier_incarnation_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    fleet = fleet_with_server()
+    after = restart(fleet, layers={"from": 0, "targetVersion": 4, "version": 1})
     made, _ = spreading_of(fleet)
     monkeypatch.setattr("bayglade.spreading.eventlet.spawn_n", lambda *_: None)
     for finder in ("a", "b", "c"):
@@ -197,8 +197,8 @@
     assert after.suspect
 
 
-def test_what_others_found_of_a_later_start_has_it_asked(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet = listed()
+def test_a_finding_about_a_later_incarnation_has_the_server_probed(monkeypatch: pytest.MonkeyPatch) -> None:
+    fleet = fleet_with_server()
     before = fleet.servers[ID]
     made, _ = spreading_of(fleet)
     monkeypatch.setattr("bayglade.spreading.eventlet.spawn_n", lambda act, *args: act(*args))
@@ -208,15 +208,15 @@
     assert before.has_ended(0.0)
 
 
-def test_loads_of_an_earlier_start_are_not_those_of_the_next() -> None:
+def test_loads_of_an_earlier_incarnation_do_not_count() -> None:
     totals = Totals(MemberId("me"))
     totals.assign({MemberId(name): HallName("h") for name in ("me", "a", "b")}, {})
     for name, born, heads in (("a", BORN, 7), ("b", LATER, 2)):
         loads = [ServerLoad(ID, heads, 0, Incarnation(born))]
         beat = Heartbeat(revision=Revision(1), draining=False, usage=[], leaving=[], held=[], loads=loads)
         totals.hear(MemberId(name), beat)
-    fleet = listed()
-    after = again(fleet)
+    fleet = fleet_with_server()
+    after = restart(fleet)
     assert totals.elsewhere([])[after.facts.key].heads == 2
 
 
@@ -238,15 +238,15 @@
     return Loader(fleet, control, lease, lambda: model, metrics, random.Random(1)), placed
 
 
-def one_of_a_hall() -> tuple[Fleet, Server]:
+def fleet_of_a_hall() -> tuple[Fleet, Server]:
     fleet = Fleet()
     facts = [msgspec.structs.replace(each, incarnation=Incarnation(BORN)) for each in servers(a={"big": 8})]
     fleet.apply_changes(facts, [], outage=False)
     return fleet, fleet.servers[facts[0].id]
 
 
-def test_an_order_to_the_earlier_start_is_not_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet, server = one_of_a_hall()
+def test_an_order_to_the_earlier_incarnation_is_not_pending(monkeypatch: pytest.MonkeyPatch) -> None:
+    fleet, server = fleet_of_a_hall()
     loader, _ = loader_of(fleet, lambda *_: None, monkeypatch)
     loader.pending_orders[server.facts.id] = PendingOrder(Span(0, 9), 99.0)
     facts = msgspec.structs.replace(server.facts, incarnation=Incarnation(LATER))
@@ -254,8 +254,8 @@
     assert loader._with_pending_order(facts, 100.0).layer_count == 0
 
 
-def test_no_order_is_given_by_what_an_earlier_start_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet, server = one_of_a_hall()
+def test_no_order_is_sent_if_the_report_is_of_another_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
+    fleet, server = fleet_of_a_hall()
 
     def report(*_: Any) -> Any:
         return msgspec.structs.replace(ALIVE, incarnation=Incarnation(LATER), first=0, last=0)
@@ -266,12 +266,12 @@
     assert fleet.servers[server.facts.id].facts.incarnation == LATER
 
 
-def test_connections_to_the_earlier_start_are_closed() -> None:
-    fleet = listed()
+def test_connections_to_the_earlier_incarnation_are_closed() -> None:
+    fleet = fleet_with_server()
     links = Links()
     fleet.on_restart.append(links.drop)
     closed: list[str] = []
     resting: Any = SimpleNamespace(sock=SimpleNamespace(close=lambda: closed.append("closed")))
     links.idle[ID] = deque([resting])
-    again(fleet)
+    restart(fleet)
     assert closed == ["closed"]
