--- a/tests/test_held_back_rows.py
+++ b/tests/test_held_back_rows.py
@@ -1,9 +1,9 @@
-"""A stream whose stage ends goes on, though its daemon learns a second later who else holds the layers.
+"""A stream continues after a stage ends, even if its daemon learns of another holder only a second later.
 
-A stream was cut after 1 of 12 events when a stage behind the first ended: a second server held the same
-layers, but the daemon had not read its row yet. With these rows held back for a second, 3 of 3 streams
-were cut, each with 3 s of its time left: a stage that has surely ended, with no other one known, ended the
-stream at once.
+Guards against streams that are cut although another server holds the layers of the ended stage, because the
+daemon has not read that server's row yet. A stream was cut after 1 of 12 events this way. With such rows
+delayed by a second, 3 of 3 streams were cut with 3 s left until their deadline, because an ended stage
+without another known holder ended the stream at once.
 """
 
 import threading
@@ -18,41 +18,41 @@
 from standins.world import wait_for
 from tests.test_gateway_faults import served, start_stream
 
-HELD_SECONDS = 1.0
+DELAY_SECONDS = 1.0
 
 
-class HeldBack:
-    """Rows of servers that hold layers which a row tells of already: shown when they are let go."""
+class DelayedRows:
+    """Delays the rows of servers whose layers are all named by other rows, until they are delivered."""
 
     def __init__(self, site: UsersSite, monkeypatch: pytest.MonkeyPatch) -> None:
         self.lock = threading.Lock()
         self.put = site.store.put
         self.shown: dict[str, set[int]] = {}
-        self.rows: dict[str, Any] | None = {}
-        monkeypatch.setattr(site.store, "put", self.take)
+        self.delayed: dict[str, Any] | None = {}
+        monkeypatch.setattr(site.store, "put", self.put_or_delay)
 
-    def take(self, table: str, key: str, value: Any) -> None:
-        """Write a row, or keep it back."""
+    def put_or_delay(self, table: str, key: str, value: Any) -> None:
+        """Write a row, or delay it."""
         layers = value.get("layers") if table == "servers" else None
         held = set(range(layers["from"], layers["targetVersion"])) if layers else set()
         with self.lock:
             others = set().union(*(span for name, span in self.shown.items() if name != key))
-            if self.rows is not None and held and held <= others:
-                self.rows[key] = value
+            if self.delayed is not None and held and held <= others:
+                self.delayed[key] = value
                 return
             if layers:
                 self.shown[key] = held
         self.put(table, key, value)
 
-    def let_go(self) -> None:
-        """Write what was kept back, and keep nothing back any more."""
+    def deliver(self) -> None:
+        """Write the delayed rows, and delay no further ones."""
         with self.lock:
-            rows, self.rows = self.rows or {}, None
+            rows, self.delayed = self.delayed or {}, None
         for key, value in rows.items():
             self.put("servers", key, value)
 
-    def whole(self) -> bool:
-        """Tell whether the rows that are shown tell of all layers."""
+    def shows_all_layers(self) -> bool:
+        """Tell whether the rows that were written name all layers."""
         with self.lock:
             return len(set().union(*self.shown.values())) == LAYERS
 
@@ -64,14 +64,14 @@
 
 
 @pytest.mark.parametrize("events", [0, 4])
-def test_a_stream_goes_on_once_others_are_known_to_hold_the_layers_of_a_dead_stage(
+def test_a_stream_continues_once_another_holder_of_a_dead_stages_layers_is_known(
     events: int, site: UsersSite, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held_back = HeldBack(site, monkeypatch)
+    delayed_rows = DelayedRows(site, monkeypatch)
     daemon = site.start()
-    wait_for("all layers are shown", held_back.whole)
+    wait_for("the written rows name all layers", delayed_rows.shows_all_layers)
     wait_for("streams are served", lambda: served(daemon))
-    wait_for("second holders are held back", lambda: held_back.rows)
+    wait_for("rows of second holders are delayed", lambda: delayed_rows.delayed)
     known = {request for replica in site.of(MODEL) for request in replica.paths}
     answers, thread = start_stream(daemon)
     head = wait_for(
@@ -83,13 +83,13 @@
     assert victim is not head
     time.sleep(events * EVENT_SECONDS)
     victim.die()
-    time.sleep(HELD_SECONDS)
-    held_back.let_go()
+    time.sleep(DELAY_SECONDS)
+    delayed_rows.deliver()
     thread.join(10)
     assert answers[0].events == list(range(1, EVENTS + 1))
     assert answers[0].whole
     assert site.wrong_paths == []
     if events:
-        # What its first stage has read is not read anew.
+        # The first stage keeps its KV cache and does not process the prompt again.
         assert sum(r.ran[request] for r in site.of(MODEL)) == 1
         assert daemon.lines("rerouted")[-1]["moved"]
--- a/tests/test_restored_lists.py
+++ b/tests/test_restored_lists.py
@@ -1,4 +1,4 @@
-"""A store restored from an older copy lists outdated entries, which must not undo newer state of servers."""
+"""A store restored from an older copy lists outdated entries, which must not undo newer knowledge."""
 
 import pytest
 
