--- a/bayglade/claims.py
+++ b/bayglade/claims.py
@@ -196,7 +196,7 @@
             event("WARNING", "claim not updated", attempt=claim.row.attempt, error=repr(error))
 
     def _write(self, claim: Claim, expected_version: int, deadline: float) -> int | None:
-        """Write a row with the next batch; return its new version, or nothing on a conflict."""
+        """Write a row with the next batch; return its new version, or ``None`` on a conflict."""
         if self.pending_rows() >= MAX_PENDING_ROWS:
             raise PlatformUnavailable("too many pending claims", step="claim", retry_after=2.0)
         operation = _Operation(claim, expected_version, deadline)
--- a/bayglade/control.py
+++ b/bayglade/control.py
@@ -69,7 +69,7 @@
     def report(
         self, backend: BackendId, address: str, timeout: float, anew: bool = False
     ) -> StageReport | None:
-        """Ask a server for its report; nothing if it does not answer in time.
+        """Ask a server for its report; ``None`` if it does not answer in time.
 
         :param anew: whether to open a new connection even if an idle one exists.
         """
--- a/bayglade/fleet.py
+++ b/bayglade/fleet.py
@@ -88,7 +88,7 @@
     def seconds_until_available(self, service: ServiceName) -> float | None:
         """Return the time until a server that is at rest or rate-limited takes a request again.
 
-        :return: seconds until the first of them does; nothing if there is none.
+        :return: seconds until the first of them does; ``None`` if there is none.
         """
         at = now()
         ends = [server.available_at(at) - at for server in self.healthy(service)]
@@ -113,9 +113,9 @@
         for backend, reason in (invalid or {}).items():
             self._exclude(backend, reason)
         for facts in listed:
-            self._list(facts)
+            self._apply_entry(facts)
         for backend in gone:
-            self._unlist(backend, outage)
+            self._entry_removed(backend, outage)
         self._rebuild()
 
     def apply_snapshot(
@@ -161,7 +161,7 @@
         again = msgspec.structs.replace(
             server.facts, incarnation=incarnation, first=first, last=last, leaving=False
         )
-        self._restart(server, again, "its report")
+        self._replace_incarnation(server, again, "its report")
         self._rebuild()
         return False
 
@@ -185,7 +185,7 @@
         """Remove servers whose entries expired in an outage of the store and did not come back in time."""
         lapsed, self.lapsed = self.lapsed, set()
         for backend in lapsed:
-            self._drop(backend)
+            self._remove(backend)
         if lapsed:
             self._rebuild()
 
@@ -266,7 +266,7 @@
         server.failures = 0
         server.connection_refused = False
 
-    def _list(self, facts: ServerFacts) -> None:
+    def _apply_entry(self, facts: ServerFacts) -> None:
         newest = self.newest_incarnations.get(facts.id, UNKNOWN_INCARNATION)
         if facts.incarnation == UNKNOWN_INCARNATION < newest:
             self._exclude(facts.id, "the entry no longer says when the server started")
@@ -289,7 +289,7 @@
             event("INFO", "server listed", peer=facts.id, hall=facts.hall, service=facts.service)
             return
         if facts.incarnation > server.facts.incarnation:
-            self._restart(server, facts, "its entry")
+            self._replace_incarnation(server, facts, "its entry")
             return
         if server.excluded is not None:
             event("INFO", "server's own entry is back", peer=facts.id)
@@ -330,7 +330,7 @@
             gone = (backend for backend in self.newest_incarnations if backend not in self.servers)
             self.newest_incarnations.pop(next(gone, facts.id))
 
-    def _restart(self, before: Server, facts: ServerFacts, source: str) -> None:
+    def _replace_incarnation(self, before: Server, facts: ServerFacts, source: str) -> None:
         """Replace a server that has restarted by its new incarnation."""
         # A server that has long been suspect counts as ended: its requests are moved or sent again at once,
         # and it no longer counts towards the number of servers that a call may be sent to.
@@ -358,7 +358,7 @@
             self.change_count += 1
             event("WARNING", "server excluded", peer=backend, reason=reason)
 
-    def _unlist(self, backend: BackendId, outage: bool) -> None:
+    def _entry_removed(self, backend: BackendId, outage: bool) -> None:
         server = self.servers.get(backend)
         if server is None:
             return
@@ -366,9 +366,9 @@
             self.lapsed.add(backend)
             event("INFO", "server lapsed", peer=backend)
             return
-        self._drop(backend)
+        self._remove(backend)
 
-    def _drop(self, backend: BackendId) -> None:
+    def _remove(self, backend: BackendId) -> None:
         server = self.servers.pop(backend, None)
         if server is not None:
             self.tombstones.add(server, now())
--- a/bayglade/leases.py
+++ b/bayglade/leases.py
@@ -134,7 +134,7 @@
         return row is not None and found is not None and UNKNOWN_EPOCH < found.written_in < row.epoch
 
     def _decode(self, value: msgspec.Raw) -> LeaseRow | None:
-        """Decode the row; nothing if it is invalid.
+        """Decode the row; ``None`` if it is invalid.
 
         An invalid row is treated as a lease of an unknown holder, which has to expire.
         """
--- a/bayglade/listing.py
+++ b/bayglade/listing.py
@@ -55,7 +55,7 @@
     def apply_changes(self, changes: Changes, whole: bool) -> None:
         """Apply rows to the fleet.
 
-        :param changes: rows that changed; nothing for a row that was removed.
+        :param changes: rows that changed; ``None`` for a row that was removed.
         :param whole: whether the rows are the whole list.
         """
         listed: list[ServerFacts] = []
--- a/bayglade/loading.py
+++ b/bayglade/loading.py
@@ -100,7 +100,7 @@
         fleet.on_restart.append(self._forget_order)
         self.missing_since: dict[str, float] = {}
         self.work_since: float | None = None
-        """When the current work was first seen; nothing while there is nothing to order."""
+        """When the current work was first seen; ``None`` while there is nothing to order."""
 
         self.complete_state: tuple[int, dict[ServiceName, Pipeline]] | None = None
         """The fleet's change counter and the models when nothing was left to order. While they are
--- a/bayglade/reservations.py
+++ b/bayglade/reservations.py
@@ -7,9 +7,9 @@
 
 
 class Reservation:
-    """The servers that a request goes over, and the rate-limit tokens taken from them for it.
+    """The servers that a request runs on, and the rate-limit tokens taken from them for it.
 
-    :param servers: the servers; it is sent to the first.
+    :param servers: the servers; the request is sent to the first one.
     """
 
     __slots__ = ("reserved", "servers")
--- a/bayglade/servers.py
+++ b/bayglade/servers.py
@@ -71,7 +71,7 @@
     """What is known about the rate limit of one incarnation of a server."""
 
     rate: float | None
-    """Requests per second from all daemons together; nothing if it no longer names a limit."""
+    """Requests per second from all daemons together; ``None`` if it no longer names a limit."""
 
     seen_at: float
     """When the answer that named it arrived, here or at another daemon, in monotonic seconds."""
@@ -161,7 +161,7 @@
         """Estimated KV cache that own requests use, in tokens times layers."""
 
         self.excluded: str | None = None
-        """Why its entry is invalid; nothing while the entry is valid."""
+        """Why its entry is invalid; ``None`` while the entry is valid."""
 
         self.excluded_at = 0.0
         self.unconfirmed_until = 0.0
@@ -194,7 +194,7 @@
         """End of the rest that it asked for, a time in which this daemon sends it no requests."""
 
         self.rate_limit: RateLimit | None = None
-        """What is known about its rate limit; nothing if it has never named one."""
+        """What is known about its rate limit; ``None`` if it has never named one."""
 
         self.throttle: Throttle | None = None
         """Set while it names a rate limit."""
--- a/bayglade/stops.py
+++ b/bayglade/stops.py
@@ -25,8 +25,8 @@
 def read_stops(rows: Mapping[str, msgspec.Raw | None]) -> dict[Fingerprint, list[ServerKey] | None]:
     """Find the stops among the rows of the table.
 
-    :param rows: rows by key; nothing for a row that was removed.
-    :return: for each request, the servers that ended under it; nothing for a stop that was lifted.
+    :param rows: rows by key; ``None`` for a row that was removed.
+    :return: for each request, the servers that ended under it; ``None`` for a stop that was lifted.
     """
     found: dict[Fingerprint, list[ServerKey] | None] = {}
     for key, value in rows.items():
