--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -93,7 +93,7 @@
             self.router.usage,
             self.metrics,
             self._reported_leaving,
-            self.placer.recent,
+            self.placer.recently_confirmed,
             self._apply_heartbeat,
             self.rng,
         )
@@ -201,7 +201,7 @@
         event("INFO", "stopped")
 
     def _wait_for_claims(self) -> None:
-        while self.router.claims.busy():
+        while self.router.claims.is_writing():
             eventlet.sleep(DRAIN_POLL_INTERVAL)
 
     def _settings_changed(self, current: Current) -> None:
@@ -262,7 +262,7 @@
                 states[backend].leaving = True
         for held in beat.held:
             if held.backend in states:
-                states[held.backend].hold(held.version)
+                states[held.backend].set_version(held.version)
 
     def _run_placement(self) -> None:
         """Run placement, giving the orders that fall to this daemon; never returns."""
@@ -290,7 +290,7 @@
                 eventlet.sleep(1.0 / PROBES_PER_SECOND)
                 load = self.engines.load(state.facts.address)
                 if load is not None:
-                    self.router.backends.report(state.id, load)
+                    self.router.backends.apply_report(state.id, load)
                 if load is not None and load.leaving:
                     self.reported_leaving.add(state.id)
                 elif load is not None:
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -118,7 +118,7 @@
             self.store,
             platform.SERVERS_TABLE,
             wait_within(servers_bound),
-            self.listing.take,
+            self.listing.apply_changes,
             gather_within(servers_bound),
             self.history,
         )
@@ -153,8 +153,8 @@
             self.intake.pipelines,
             self.metrics,
             self.rng,
-            pairs=Mechanism.PAIRS not in config.without,
-            first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
+            pair_servers=Mechanism.PAIRS not in config.without,
+            tries_first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
         )
         self.peering = Peering(
             config,
@@ -356,7 +356,7 @@
             self.links.forget(set(self.fleet.servers))
             self.quarantine.tidy()
             self._update_gauges()
-            self.listing.tell_behind(self.document_feed.age())
+            self.listing.log_staleness(self.document_feed.age())
             if _mtime_ns(self.config_path) != self.config_mtime_ns:
                 self.reload("the file changed")
 
--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -11,7 +11,7 @@
 from bayglade.ids import HallName
 from bayglade.models import Route
 from bayglade.pipelines import Demand, Pipeline
-from bayglade.places import Place
+from bayglade.reservations import Reservation
 from bayglade.servers import Server
 
 HOP_MS = 0.25
@@ -34,7 +34,7 @@
 """Returns the milliseconds that a hop to another hall adds to each token."""
 
 
-class Path(Place):
+class Path(Reservation):
     """One way through all layers for one request, with what it costs a token in milliseconds."""
 
     __slots__ = ("cost", "demand", "hall", "route", "use")
@@ -124,7 +124,7 @@
         self.begin_ms = begin_ms
         self.factor = factor
         self.reading = reading
-        self.usual_cached = pipeline.usual().cached
+        self.usual_cached = pipeline.typical_request().cached
 
     def hop_ms(self, one: HallName | None, other: HallName) -> float:
         """Return the cost of handing a token on; nothing before the first stage."""
@@ -198,11 +198,11 @@
     """
     facts, pipeline = server.facts, search.pipeline
     accelerator = facts.accelerator or ""
-    size = pipeline.cache_size(accelerator, facts.held)
+    size = pipeline.cache_capacity(accelerator, facts.layer_count)
     kind = pipeline.accelerators[accelerator]
     passing = taken / search.usual_cached
     shared = kind.step_factor * pipeline.request_ms * passing
-    shared += kind.read_factor * pipeline.reading_ms * passing
+    shared += kind.read_factor * pipeline.prefill_ms_per_step * passing
     each = kind.step_factor * pipeline.step_ms
     pace = server.pace / pipeline.layers
     cached = search.demand.cached
@@ -240,7 +240,7 @@
     Servers are taken in the order of their last layers, so that no way comes
     back to a server that it has left.
     """
-    fitting = [s for s in servers if s.facts.held > 0 and s.facts.fits(search.pipeline)]
+    fitting = [s for s in servers if s.facts.layer_count > 0 and s.facts.fits(search.pipeline)]
     fitting.sort(key=lambda s: (s.facts.last, s.facts.first, s.facts.id))
     hall = start.server.facts.hall if start.server is not None else None
     ways: Ways = {start.last: {hall: start}}
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -88,7 +88,7 @@
             s
             for s in self.fleet.usable(service)
             if s.facts.id not in without
-            and s.short_until <= at
+            and s.full_until <= at
             and _may_begin(s, loads.get(s.facts.key, NO_LOAD), heads)
         ]
         search = self._search(pipeline, demand, loads)
@@ -105,7 +105,7 @@
     def _want(self, service: ServiceName) -> None:
         """Have requests lent to the servers that name a limit, those of the own hall before others."""
         at = now()
-        limited = [s for s in self.fleet.of(service) if s.throttle is not None and s.sound(at)]
+        limited = [s for s in self.fleet.of_service(service) if s.throttle is not None and s.healthy(at)]
         near = [server for server in limited if server.facts.hall == self.hall]
         self.fleet.rate_limits.want(near or limited)
 
@@ -123,7 +123,7 @@
         :param before: the path that a running request leaves for it.
         """
         path.take(before.servers if before is not None else ())
-        self.pipes.sends((server.facts.hall for server in path.servers), pipeline, path.demand)
+        self.pipes.record((server.facts.hall for server in path.servers), pipeline, path.demand)
 
     def covered_in(
         self,
@@ -144,11 +144,11 @@
         at = now()
         servers = [
             server
-            for server in self.fleet.sound(service)
+            for server in self.fleet.healthy(service)
             if server.facts.id not in without and _may_lead(server, heads)
         ]
 
-        opens = {server.facts.id: server.opens_at(at) for server in servers}
+        opens = {server.facts.id: server.available_at(at) for server in servers}
 
         def covers(when: float) -> bool:
             return (
@@ -164,7 +164,7 @@
 
     def of_halls(self, service: ServiceName, pipeline: Pipeline) -> list[Path]:
         """List the path that a usual request would take in each hall now, cheapest first."""
-        search = Search(pipeline, pipeline.usual(), _taken(self.elsewhere()), limited=False)
+        search = Search(pipeline, pipeline.typical_request(), _taken(self.elsewhere()), limited=False)
         found = [find_path(servers, search) for servers in by_hall(self.fleet.usable(service)).values()]
         return sorted((path for path in found if path is not None), key=lambda path: path.cost)
 
@@ -192,9 +192,11 @@
         self._want(service)
         usable = [
             s
-            for s in self.fleet.sound(service)
+            for s in self.fleet.healthy(service)
             # A stage that takes nothing new goes on with what it runs.
-            if s.facts.id not in without and s is not head and (s.opens_at(at) <= at or s in path.servers)
+            if s.facts.id not in without
+            and s is not head
+            and (s.available_at(at) <= at or s in path.servers)
         ]
         search = self._search(pipeline, path.demand, self.elsewhere())
         search.reading = _reading(path, search, without)
@@ -224,9 +226,9 @@
 
         def begin_ms(server: Server) -> float:
             cold = Mechanism.WARM not in self.without and not self.warm(server.facts.id)
-            ahead = max(0, server.unread - 1) * self.daemons()
+            ahead = max(0, server.unanswered - 1) * self.daemons()
             kind = server.facts.accelerator or ""
-            reading = pipeline.reading_time(kind, demand.prompt, server.facts.held) if ahead else 0.0
+            reading = pipeline.prefill_ms(kind, demand.prompt, server.facts.layer_count) if ahead else 0.0
             return (COLD_BEGIN_MS if cold else 0.0) + ahead * reading / PAUSE_TOKENS
 
         return begin_ms
@@ -241,7 +243,7 @@
         pipeline, demand = search.pipeline, search.demand
 
         def crossing(one: HallName, other: HallName) -> float:
-            return self.pipes.crossing_ms(one, other, pipeline, demand)
+            return self.pipes.crossing_cost_ms(one, other, pipeline, demand)
 
         wide = Search(
             pipeline,
@@ -270,13 +272,21 @@
         for server, stage in zip(path.servers, path.route.stages, strict=True)
     }
     left = [server for server in path.servers if server.facts.id in without]
-    moving = max([1.0, *(search.taken(s) / (pipeline.usual().cached * max(1, s.facts.held)) for s in left)])
+    moving = max(
+        [
+            1.0,
+            *(
+                search.taken(s) / (pipeline.typical_request().cached * max(1, s.facts.layer_count))
+                for s in left
+            ),
+        ]
+    )
 
     def reading(server: Server, first: int, last: int) -> float:
         if kept.get(server.facts.id) == (first, last):
             return 0.0
         kind = server.facts.accelerator or ""
-        return moving * pipeline.reading_time(kind, path.demand.cached, last - first) / PAUSE_TOKENS
+        return moving * pipeline.prefill_ms(kind, path.demand.cached, last - first) / PAUSE_TOKENS
 
     return reading
 
@@ -298,7 +308,9 @@
 
 def _unlimited(pipeline: Pipeline) -> Search:
     """Return a search that looks at nothing but which layers are held."""
-    return Search(pipeline, pipeline.usual(), lambda _: 0.0, lambda one, other: 0.0, limited=False)
+    return Search(
+        pipeline, pipeline.typical_request(), lambda _: 0.0, lambda one, other: 0.0, limited=False
+    )
 
 
 def _may_begin(server: Server, load: ServerLoad, heads: frozenset[BackendId] | None) -> bool:
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -189,7 +189,7 @@
         that one call may be sent to; one that is out of reach just now does.
         """
         at = now()
-        alive = frozenset(head.facts.id for head in self.heads if not head.ended(at))
+        alive = frozenset(head.facts.id for head in self.heads if not head.has_ended(at))
         return alive if len(alive) >= self.call.endpoint.max_attempts else None
 
     def note(self, server: Server) -> None:
@@ -244,7 +244,7 @@
     if seconds <= 0:
         return
     for start in peers.quarantine.unsure_of(call):
-        if (server := peers.fleet.current(start)) is not None:
+        if (server := peers.fleet.find_current(start)) is not None:
             eventlet.spawn_n(look_at, peers, server)
     _gather(min(seconds, max(0.0, call.seconds_left())))
 
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -6,7 +6,7 @@
 
 from bayglade.admission import Admission
 from bayglade.backends import Backends
-from bayglade.claims import Claim, Claims, Kept
+from bayglade.claims import Claim, Claims, StoredAnswer
 from bayglade.clock import now
 from bayglade.completions import Answer, Completions
 from bayglade.division import own_part
@@ -90,9 +90,9 @@
             heard,
             self.trust.member_count(),
         )
-        self.backends.divide(fraction)
+        self.backends.set_share(fraction)
 
-    def claim(self, request: Request, body_sha256: str) -> Claim | Kept | None:
+    def claim(self, request: Request, body_sha256: str) -> Claim | StoredAnswer | None:
         """Claim the idempotency key of a request that must not run twice.
 
         :param request: the request.
@@ -128,7 +128,7 @@
         with self._admitted(request, SERVICE_CALL_COST, claim):
             answer = self._call_with_retries(request, self.tree.services[request.service])
         if claim is not None:
-            self.claims.keep(claim, answer)
+            self.claims.store_answer(claim, answer)
         return answer
 
     @contextmanager
--- a/tests/steps_placement.py
+++ b/tests/steps_placement.py
@@ -1,4 +1,4 @@
-"""The words of the scenarios about placement."""
+"""Steps of the scenarios about version placement."""
 
 import signal
 import threading
@@ -19,7 +19,7 @@
 
 
 def served_by(scenario: Scenario, key: str) -> str:
-    """Ask once and tell from the tokens which version answered."""
+    """Send one request and return which version answered it, judging by the tokens."""
     status, body = callers.complete(scenario.daemons[-1].address, 2, "which", key)
     assert status == 200, body
     text = body["choices"][0]["text"]
@@ -77,8 +77,8 @@
     assert any(stream.is_correct("v2") for stream in scenario.streams)
 
 
-def _giver(scenario: Scenario) -> str:
-    """Wait until a daemon has given an order and return its name."""
+def _order_sender(scenario: Scenario) -> str:
+    """Wait until a daemon has sent an order and return its name."""
 
     def given() -> str | None:
         logs = {daemon.name: daemon.log.read_text() for daemon in scenario.daemons}
@@ -88,22 +88,22 @@
 
 
 @when("the daemon that gives orders is killed")
-def when_giver_killed(scenario: Scenario) -> None:
-    name = _giver(scenario)
+def when_sender_killed(scenario: Scenario) -> None:
+    name = _order_sender(scenario)
     scenario.process(name).kill()
     scenario.daemons = [daemon for daemon in scenario.daemons if daemon.name != name]
 
 
 @when("the daemon that gives orders is frozen")
-def when_giver_frozen(scenario: Scenario) -> None:
-    scenario.last = _giver(scenario)
+def when_sender_frozen(scenario: Scenario) -> None:
+    scenario.last = _order_sender(scenario)
     scenario.process(scenario.last).signal(signal.SIGSTOP)
 
 
 @when("the frozen daemon wakes")
-def when_giver_wakes(scenario: Scenario) -> None:
+def when_sender_wakes(scenario: Scenario) -> None:
     scenario.process(scenario.last).signal(signal.SIGCONT)
-    # Awake means that it answers again; then it had its chance to give an old order.
+    # Once it answers again, it has had the opportunity to send an outdated order.
     address = scenario.process(scenario.last).address
     wait_for("it answers", lambda: callers.complete(address, 1, key=CALLER_KEY)[0] == 200)
 
