--- a/bayglade/beliefs.py
+++ b/bayglade/beliefs.py
@@ -167,8 +167,8 @@
         PathBelief(
             hall=path.hall,
             cost_ms=round(path.cost, 2),
-            use=round(path.use, 2),
-            route=path.text(),
+            use=round(path.cache_use, 2),
+            route=path.describe(),
         )
         for path in paths
     ]
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -38,7 +38,7 @@
 from bayglade.logs import event
 from bayglade.mechanisms import Mechanism
 from bayglade.metrics import create_metrics
-from bayglade.paths import Paths
+from bayglade.paths import PathSelector
 from bayglade.peering import Peering
 from bayglade.presence import CallerLeft, Presence
 from bayglade.quarantine import Quarantine
@@ -130,7 +130,7 @@
         watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
         self.peers = Peers(
             fleet=self.fleet,
-            paths=Paths(self.fleet, config.hall, config.without, self.rng),
+            paths=PathSelector(self.fleet, config.hall, config.without, self.rng),
             links=self.links,
             dialect=dialect,
             control=self.control,
@@ -143,7 +143,7 @@
             rng=self.rng,
             without=config.without,
         )
-        self.peers.paths.warm = self.links.rests
+        self.peers.paths.has_idle_connection = self.links.rests
         self.loader = Loader(
             self.fleet,
             self.control,
@@ -224,7 +224,7 @@
         paths = [
             path
             for service, pipeline in self.intake.pipelines().items()
-            for path in self.peers.paths.of_halls(service, pipeline)
+            for path in self.peers.paths.typical_by_hall(service, pipeline)
         ]
         return Beliefs(
             member=self.config.member,
--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -16,44 +16,44 @@
 
 HOP_MS = 0.25
 """Cost of one more stage inside a hall: about the delay between two hosts there."""
-MOST_USE = 0.95
+MAX_CACHE_USE = 0.95
 """Part of a server's KV cache that requests are sent to fill. What it holds of each differs from the
 expected mean."""
-CROWDING_POWER = 4
+CROWDING_EXPONENT = 4
 """A stage costs as much more as its cache is full, by this power: little up to two thirds, five times
 as much at the most. Requests go round it before it has to turn them away."""
 
-Taken = Callable[[Server], float]
+CacheLoadOf = Callable[[Server], float]
 """Returns what all daemons have in the KV cache of a server: tokens times layers."""
 CostOf = Callable[[Server], float]
-ReadingCost = Callable[[Server, int, int], float]
+PrefillCost = Callable[[Server, int, int], float]
 """Returns what it costs a token more that a server has something to read through the layers from one to
 another before it goes on."""
 StageCosts = Callable[[int], tuple[float, float]]
-CrossingCost = Callable[[HallName, HallName], float]
+CrossingMs = Callable[[HallName, HallName], float]
 """Returns the milliseconds that a hop to another hall adds to each token."""
 
 
 class Path(Place):
     """One way through all layers for one request, with what it costs a token in milliseconds."""
 
-    __slots__ = ("cost", "demand", "hall", "route", "use")
+    __slots__ = ("cache_use", "cost", "demand", "hall", "route")
 
     def __init__(
-        self, route: Route, servers: tuple[Server, ...], cost: float, demand: Demand, use: float
+        self, route: Route, servers: tuple[Server, ...], cost: float, demand: Demand, cache_use: float
     ) -> None:
         super().__init__(servers)
         self.route = route
         self.cost = cost
         self.demand = demand
         self.hall = servers[0].facts.hall
-        self.use = use
+        self.cache_use = cache_use
         """Part of the KV cache of its fullest stage that is taken, this request included."""
 
     def __repr__(self) -> str:
         return f"<Path {self.cost:.1f} ms {self.route!r}>"
 
-    def text(self) -> str:
+    def describe(self) -> str:
         """Write the stages in short."""
         return " ".join(f"{s.backend}[{s.first},{s.last})" for s in self.route.stages)
 
@@ -91,40 +91,40 @@
     """
 
     __slots__ = (
-        "begin_ms",
-        "crossing",
+        "cache_load",
+        "cost_factor",
+        "crossing_ms",
         "crowding",
         "demand",
-        "factor",
-        "limited",
+        "enforce_capacity",
+        "first_stage_ms",
         "pipeline",
-        "reading",
-        "taken",
-        "usual_cached",
+        "prefill_cost",
+        "typical_cached",
     )
 
     def __init__(
         self,
         pipeline: Pipeline,
         demand: Demand,
-        taken: Taken,
-        crossing: CrossingCost | None = None,
-        limited: bool = True,
+        cache_load: CacheLoadOf,
+        crossing_ms: CrossingMs | None = None,
+        enforce_capacity: bool = True,
         crowding: bool = True,
-        begin_ms: CostOf | None = None,
-        factor: CostOf | None = None,
-        reading: ReadingCost | None = None,
+        first_stage_ms: CostOf | None = None,
+        cost_factor: CostOf | None = None,
+        prefill_cost: PrefillCost | None = None,
     ) -> None:
         self.pipeline = pipeline
         self.demand = demand
-        self.taken = taken
-        self.crossing = crossing
-        self.limited = limited
+        self.cache_load = cache_load
+        self.crossing_ms = crossing_ms
+        self.enforce_capacity = enforce_capacity
         self.crowding = crowding
-        self.begin_ms = begin_ms
-        self.factor = factor
-        self.reading = reading
-        self.usual_cached = pipeline.usual().cached
+        self.first_stage_ms = first_stage_ms
+        self.cost_factor = cost_factor
+        self.prefill_cost = prefill_cost
+        self.typical_cached = pipeline.usual().cached
 
     def hop_ms(self, one: HallName | None, other: HallName) -> float:
         """Return the cost of handing a token on; nothing before the first stage."""
@@ -132,26 +132,32 @@
             return 0.0
         if one == other:
             return HOP_MS
-        return HOP_MS + self.crossing(one, other) if self.crossing is not None else float("inf")
+        return HOP_MS + self.crossing_ms(one, other) if self.crossing_ms is not None else float("inf")
 
 
-class _Reach:
+class _PartialPath:
     """The cheapest known way to a layer: its last stage and the way before it."""
 
-    __slots__ = ("before", "cost", "first", "last", "server", "use")
+    __slots__ = ("cache_use", "cost", "first", "last", "previous", "server")
 
     def __init__(
-        self, cost: float, server: Server | None, first: int, last: int, before: "_Reach | None", use: float
+        self,
+        cost: float,
+        server: Server | None,
+        first: int,
+        last: int,
+        previous: "_PartialPath | None",
+        cache_use: float,
     ) -> None:
         self.cost = cost
         self.server = server
         self.first = first
         self.last = last
-        self.before = before
-        self.use = use
+        self.previous = previous
+        self.cache_use = cache_use
 
 
-def by_hall(servers: Iterable[Server]) -> dict[HallName, list[Server]]:
+def group_by_hall(servers: Iterable[Server]) -> dict[HallName, list[Server]]:
     """Group servers by their data hall."""
     halls: dict[HallName, list[Server]] = {}
     for server in servers:
@@ -166,7 +172,7 @@
     :param search: the request and what is under way.
     :return: the path, or nothing when they do not hold all layers or have no room.
     """
-    return _path(_search(servers, search, _Reach(0.0, None, 0, 0, None, 0.0)), search)
+    return _build_path(_search(servers, search, _PartialPath(0.0, None, 0, 0, None, 0.0)), search)
 
 
 def find_detour(path: Path, servers: Iterable[Server], search: Search) -> Path | None:
@@ -178,13 +184,13 @@
     :return: the path, or nothing when they do not hold the other layers or have no room.
     """
     stage = path.route.stages[0]
-    start = _Reach(0.0, path.servers[0], stage.first, stage.last, None, 0.0)
+    start = _PartialPath(0.0, path.servers[0], stage.first, stage.last, None, 0.0)
     # A stage that stays as it is keeps its memory of the request only with the same layers.
     bounds = [stage.last for stage in path.route.stages]
-    return _path(_search(servers, search, start, bounds), search)
+    return _build_path(_search(servers, search, start, bounds), search)
 
 
-def stage_costs(server: Server, search: Search, taken: float) -> StageCosts:
+def stage_costs(server: Server, search: Search, cache_load: float) -> StageCosts:
     """Return what a server costs as a stage, by how many of its layers the stage runs.
 
     A pass of a server serves all its requests together, so each waits for the
@@ -200,104 +206,108 @@
     accelerator = facts.accelerator or ""
     size = pipeline.cache_size(accelerator, facts.held)
     kind = pipeline.accelerators[accelerator]
-    passing = taken / search.usual_cached
-    shared = kind.step_factor * pipeline.request_ms * passing
-    shared += kind.read_factor * pipeline.reading_ms * passing
-    each = kind.step_factor * pipeline.step_ms
+    active_requests = cache_load / search.typical_cached
+    shared = kind.step_factor * pipeline.request_ms * active_requests
+    shared += kind.read_factor * pipeline.reading_ms * active_requests
+    per_layer = kind.step_factor * pipeline.step_ms
     pace = server.pace / pipeline.layers
     cached = search.demand.cached
-    known: dict[int, tuple[float, float]] = {}
+    memo: dict[int, tuple[float, float]] = {}
 
     def cost(layers: int) -> tuple[float, float]:
-        use = (taken + cached * layers) / size if size > 0 else float("inf")
-        if use > MOST_USE:
+        cache_use = (cache_load + cached * layers) / size if size > 0 else float("inf")
+        if cache_use > MAX_CACHE_USE:
             # One that is larger than the whole cache may run alone.
-            if size <= 0 or (search.limited and taken > 0):
-                return float("inf"), use
-            use = MOST_USE
-        time = (each * layers + shared) * pace
-        return time / (1.0 - use**CROWDING_POWER) if search.crowding else time, use
+            if size <= 0 or (search.enforce_capacity and cache_load > 0):
+                return float("inf"), cache_use
+            cache_use = MAX_CACHE_USE
+        time = (per_layer * layers + shared) * pace
+        return time / (1.0 - cache_use**CROWDING_EXPONENT) if search.crowding else time, cache_use
 
     def costs(layers: int) -> tuple[float, float]:
         # Stages meet at many bounds, and many of them are as long as others.
-        found = known.get(layers)
+        found = memo.get(layers)
         if found is None:
-            found = known[layers] = cost(layers)
+            found = memo[layers] = cost(layers)
         return found
 
     return costs
 
 
-Ways = dict[int, dict[HallName | None, _Reach]]
+PartialPaths = dict[int, dict[HallName | None, _PartialPath]]
 """The cheapest ways to each layer, by the hall in which they end."""
 
 
 def _search(
-    servers: Iterable[Server], search: Search, start: _Reach, bounds: Iterable[int] = ()
-) -> _Reach | None:
+    servers: Iterable[Server], search: Search, start: _PartialPath, bounds: Iterable[int] = ()
+) -> _PartialPath | None:
     """Find the cheapest way from a start to the last layer.
 
     Servers are taken in the order of their last layers, so that no way comes
     back to a server that it has left.
     """
-    fitting = [s for s in servers if s.facts.held > 0 and s.facts.fits(search.pipeline)]
-    fitting.sort(key=lambda s: (s.facts.last, s.facts.first, s.facts.id))
+    eligible = [s for s in servers if s.facts.held > 0 and s.facts.fits(search.pipeline)]
+    eligible.sort(key=lambda s: (s.facts.last, s.facts.first, s.facts.id))
     hall = start.server.facts.hall if start.server is not None else None
-    ways: Ways = {start.last: {hall: start}}
+    partials: PartialPaths = {start.last: {hall: start}}
     # Stages meet where some server's layers begin or end: requests spread over servers
     # that hold the same layers, so none of these has to be divided.
-    ends = {bound for s in fitting for bound in (s.facts.first, s.facts.last)}
-    meeting = sorted(ends.union(bounds, {start.last}))
-    for server in fitting:
-        _extend(ways, server, meeting, search)
-    found = ways.get(search.pipeline.layers, {})
-    return min(found.values(), key=lambda reach: reach.cost, default=None)
+    ends = {bound for s in eligible for bound in (s.facts.first, s.facts.last)}
+    boundaries = sorted(ends.union(bounds, {start.last}))
+    for server in eligible:
+        _extend(partials, server, boundaries, search)
+    complete = partials.get(search.pipeline.layers, {})
+    return min(complete.values(), key=lambda reach: reach.cost, default=None)
 
 
-def _extend(ways: Ways, server: Server, bounds: Sequence[int], search: Search) -> None:
+def _extend(partials: PartialPaths, server: Server, bounds: Sequence[int], search: Search) -> None:
     """Extend the known ways by one stage on a server."""
     facts = server.facts
-    begins = [bound for bound in bounds if facts.first <= bound < facts.last and bound in ways]
-    if not begins:
+    starts = [bound for bound in bounds if facts.first <= bound < facts.last and bound in partials]
+    if not starts:
         return
-    taken = search.taken(server)
-    factor = 1.0 if search.factor is None else search.factor(server)
-    costs = stage_costs(server, search, taken)
-    ends = [bound for bound in bounds if begins[0] < bound <= facts.last]
-    found: list[_Reach] = []
-    for begin in begins:
-        cost, before = min(
-            ((way.cost + search.hop_ms(hall, facts.hall), way) for hall, way in ways[begin].items()),
+    cache_load = search.cache_load(server)
+    cost_factor = 1.0 if search.cost_factor is None else search.cost_factor(server)
+    costs = stage_costs(server, search, cache_load)
+    ends = [bound for bound in bounds if starts[0] < bound <= facts.last]
+    extended: list[_PartialPath] = []
+    for begin in starts:
+        cost, previous = min(
+            ((way.cost + search.hop_ms(hall, facts.hall), way) for hall, way in partials[begin].items()),
             key=lambda entry: entry[0],
         )
-        if before.server is None and search.begin_ms is not None:
-            cost += search.begin_ms(server)
+        if previous.server is None and search.first_stage_ms is not None:
+            cost += search.first_stage_ms(server)
         for end in ends:
             if end <= begin:
                 continue
-            more, use = costs(end - begin)
-            more *= factor
-            if search.reading is not None:
-                more += search.reading(server, begin, end)
-            if cost + more < float("inf"):
-                found.append(_Reach(cost + more, server, begin, end, before, max(use, before.use)))
-    for reach in found:
-        here = ways.setdefault(reach.last, {})
-        known = here.get(facts.hall)
+            stage_cost, cache_use = costs(end - begin)
+            stage_cost *= cost_factor
+            if search.prefill_cost is not None:
+                stage_cost += search.prefill_cost(server, begin, end)
+            if cost + stage_cost < float("inf"):
+                extended.append(
+                    _PartialPath(
+                        cost + stage_cost, server, begin, end, previous, max(cache_use, previous.cache_use)
+                    )
+                )
+    for reach in extended:
+        by_hall = partials.setdefault(reach.last, {})
+        known = by_hall.get(facts.hall)
         if known is None or reach.cost < known.cost:
-            here[facts.hall] = reach
+            by_hall[facts.hall] = reach
 
 
-def _path(reach: _Reach | None, search: Search) -> Path | None:
-    if reach is None:
+def _build_path(partial: _PartialPath | None, search: Search) -> Path | None:
+    if partial is None:
         return None
-    cost, use = reach.cost, reach.use
+    cost, cache_use = partial.cost, partial.cache_use
     stages: list[Stage] = []
     servers: list[Server] = []
-    step: _Reach | None = reach
+    step: _PartialPath | None = partial
     while step is not None and step.server is not None:
         facts = step.server.facts
         stages.append(Stage(facts.id, facts.address, step.first, step.last))
         servers.append(step.server)
-        step = step.before
-    return Path(Route(tuple(reversed(stages))), tuple(reversed(servers)), cost, search.demand, use)
+        step = step.previous
+    return Path(Route(tuple(reversed(stages))), tuple(reversed(servers)), cost, search.demand, cache_use)
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -339,8 +339,8 @@
         membership.on_quota_return = self.quotas.heard_return
         membership.fetch_after = FETCH_AFTER_SECONDS if self.intake.caught_up else 0.0
         membership.caught_up = lambda: self.intake.caught_up
-        self.peers.paths.elsewhere = lambda: self.totals.elsewhere(self._loads())
-        self.peers.paths.daemons = lambda: self.totals.neighbours() + 1
+        self.peers.paths.remote_loads = lambda: self.totals.elsewhere(self._loads())
+        self.peers.paths.daemon_count = lambda: self.totals.neighbours() + 1
         self.peers.diagnosis.daemons = membership.count
         self.peers.paths.pipes.daemons = membership.count
         return membership
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -30,7 +30,7 @@
 from bayglade.logs import event
 from bayglade.mechanisms import Mechanism, Without
 from bayglade.metrics import Metrics
-from bayglade.paths import Paths
+from bayglade.paths import PathSelector
 from bayglade.quarantine import Quarantine
 from bayglade.retries import RetryBudget, spread_retry_after
 from bayglade.servers import Server
@@ -55,7 +55,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        paths: Paths,
+        paths: PathSelector,
         links: Links,
         dialect: Dialect,
         control: Control,
--- a/bayglade/routing.py
+++ b/bayglade/routing.py
@@ -12,13 +12,13 @@
 from bayglade.engines.wire import Stage
 from bayglade.ids import HallName
 
-SAMPLE_SIZE = 8
-NOISE = 0.05
+MAX_CANDIDATES = 8
+COST_JITTER = 0.05
 
 LinkSeconds = Callable[[HallName, HallName], float]
 """Seconds one way between two data halls."""
 
-Choice = tuple[float, tuple[Stage, ...]]
+PartialRoute = tuple[float, tuple[Stage, ...]]
 """Cost in seconds a token and the stages from a position on."""
 
 
@@ -29,12 +29,12 @@
     :param layers: the number of layers of the model.
     :return: true when a route exists.
     """
-    reach = 0
-    while reach < layers:
-        further = max((s.facts.last for s in states if s.facts.first <= reach), default=reach)
-        if further <= reach:
+    covered = 0
+    while covered < layers:
+        extended = max((s.facts.last for s in states if s.facts.first <= covered), default=covered)
+        if extended <= covered:
             return False
-        reach = further
+        covered = extended
     return True
 
 
@@ -54,17 +54,17 @@
     :param rng: source of the sample and of the noise that breaks ties.
     :return: the stages in order; nothing when the servers do not tile the model.
     """
-    known: dict[tuple[int, HallName], Choice | None] = {}
+    memo: dict[tuple[int, HallName], PartialRoute | None] = {}
 
-    def best(position: int, at: HallName) -> Choice | None:
+    def best(position: int, at: HallName) -> PartialRoute | None:
         if position >= layers:
             return 0.0, ()
-        if (position, at) not in known:
-            known[position, at] = _cheapest(position, at)
-        return known[position, at]
+        if (position, at) not in memo:
+            memo[position, at] = _cheapest(position, at)
+        return memo[position, at]
 
-    def _cheapest(position: int, at: HallName) -> Choice | None:
-        cheapest: Choice | None = None
+    def _cheapest(position: int, at: HallName) -> PartialRoute | None:
+        cheapest: PartialRoute | None = None
         for state in _candidates(states, position, rng):
             rest = best(state.facts.last, state.facts.hall)
             if rest is None:
@@ -83,13 +83,13 @@
     states: Sequence[BackendState], position: int, rng: random.Random
 ) -> Sequence[BackendState]:
     fitting = [s for s in states if s.facts.first <= position < s.facts.last]
-    if len(fitting) <= SAMPLE_SIZE:
+    if len(fitting) <= MAX_CANDIDATES:
         return fitting
-    return rng.sample(fitting, SAMPLE_SIZE)
+    return rng.sample(fitting, MAX_CANDIDATES)
 
 
 def _stage_cost(state: BackendState, position: int, rng: random.Random) -> float:
     seconds = state.seconds_per_layer * (state.facts.last - position)
     crowding = 1.0 + (state.in_flight + 1) / state.limit
-    doubt = 1.0 + state.failures
-    return seconds * crowding * doubt * (1.0 + NOISE * rng.random())
+    failure_penalty = 1.0 + state.failures
+    return seconds * crowding * failure_penalty * (1.0 + COST_JITTER * rng.random())
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -218,7 +218,7 @@
         reason=reason,
         off=sorted(run.avoided),
         moved=outcome.moved,
-        route=path.text(),
+        route=path.describe(),
     )
     if outcome.moved:
         peers.paths.take(path, pipeline, run.path)
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -66,8 +66,8 @@
         "sent",
         request=call.head.id,
         peer=facts.id,
-        path=path.text() if path is not None else None,
-        use=round(path.use, 2) if path is not None else None,
+        path=path.describe() if path is not None else None,
+        use=round(path.cache_use, 2) if path is not None else None,
         after=last_event,
         left=round(call.seconds_left(), 3),
     )
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -238,7 +238,7 @@
     if _endures(peers, delivery):
         return _await_place(peers, call, attempts, seek_without, avoided)
     heads = attempts.only()
-    rest = peers.paths.covered_in(call.service, pipeline, avoided, heads)
+    rest = peers.paths.seconds_until_covered(call.service, pipeline, avoided, heads)
     if rest is None and not (attempts.unknown and Mechanism.BEGUN_WAIT not in peers.without):
         return None
     since = delivery.sent_at if delivery.begun else call.arrived
--- a/benches/paths.py
+++ b/benches/paths.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from bayglade.paths import Paths
+from bayglade.paths import PathSelector
 from benches.common import print_table
 from tests.test_paths import USUAL, Site
 from tests.test_tiling import SERVICE
@@ -35,9 +35,9 @@
     print_table("Search for one path", ["servers", "ms"], rows)
 
 
-def _crossing(paths: Paths, site: Site) -> object:
+def _crossing(paths: PathSelector, site: Site) -> object:
     usable = site.fleet.usable(SERVICE)
-    return paths._crossing(usable, paths._search(site.model, USUAL, {}))
+    return paths._find_across_halls(usable, paths._search_for(site.model, USUAL, {}))
 
 
 if __name__ == "__main__":
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -35,7 +35,7 @@
 )
 from bayglade.fleet import Fleet
 from bayglade.ids import GroupPath, HallName, RequestId
-from bayglade.paths import Paths
+from bayglade.paths import PathSelector
 from bayglade.presence import CallerLeft
 from bayglade.quarantine import Quarantine
 from bayglade.relay import MAX_SENDINGS, MAX_UNREACHED
@@ -70,7 +70,7 @@
         self.quarantine = Quarantine(b"key", random.Random(1))
         self.peers: Any = SimpleNamespace(
             fleet=self.fleet,
-            paths=Paths(self.fleet, HallName("a")),
+            paths=PathSelector(self.fleet, HallName("a")),
             wait_queues=self.wait_queues,
             quarantine=self.quarantine,
             diagnosis=SimpleNamespace(examine=lambda servers: None, examine_anew=lambda servers: None),
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -11,8 +11,8 @@
 from bayglade.entries.wire import ServerLoad
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, HallName
-from bayglade.pathfinding import MOST_USE, Path, Search, find_path
-from bayglade.paths import SPILL_USE, Paths
+from bayglade.pathfinding import MAX_CACHE_USE, Path, Search, find_path
+from bayglade.paths import SPILL_CACHE_USE, PathSelector
 from bayglade.pipelines import Demand, Pipeline
 from bayglade.pipes import MOST_PIPE_USE, UNKNOWN_CROSSING_MS, Pipes
 from bayglade.servers import Server
@@ -42,7 +42,7 @@
         self.fleet = Fleet()
         held = placed(servers(**(halls or TWO_HALLS)), self.model)
         self.fleet.take([server.facts for server in held], [], outage=False)
-        self.paths = Paths(self.fleet, HallName(hall))
+        self.paths = PathSelector(self.fleet, HallName(hall))
 
     def choose(self, demand: Demand = USUAL, without: frozenset[BackendId] = frozenset()) -> Path | None:
         return self.paths.choose(SERVICE, self.model, demand, without)
@@ -97,8 +97,8 @@
         served += 1
         assert served < 1000
     assert served > 100
-    assert all(site.use(s) <= MOST_USE for s in site.fleet.of(SERVICE) if s.facts.held)
-    assert site.paths.covered_in(SERVICE, site.model) == 0.0
+    assert all(site.use(s) <= MAX_CACHE_USE for s in site.fleet.of(SERVICE) if s.facts.held)
+    assert site.paths.seconds_until_covered(SERVICE, site.model) == 0.0
 
 
 def test_what_other_daemons_have_under_way_counts() -> None:
@@ -108,7 +108,7 @@
     crowded = path.servers[1]
     facts = crowded.facts
     full = site.model.cache_size(facts.accelerator or "", facts.held)
-    site.paths.elsewhere = lambda: {facts.key: ServerLoad(facts.id, 0, int(full))}
+    site.paths.remote_loads = lambda: {facts.key: ServerLoad(facts.id, 0, int(full))}
     other = site.choose()
     assert other is not None
     assert crowded not in other.servers
@@ -119,7 +119,7 @@
     path = site.choose()
     assert path is not None
     head = path.servers[0].facts
-    site.paths.elsewhere = lambda: {head.key: ServerLoad(head.id, head.slots, 0)}
+    site.paths.remote_loads = lambda: {head.key: ServerLoad(head.id, head.slots, 0)}
     other = site.choose()
     assert other is not None
     assert other.servers[0].facts.id != head.id
@@ -133,7 +133,7 @@
     while path.hall == "b":
         last, path = path, site.serve()
     assert path.hall == "a"
-    assert last.use > SPILL_USE - 0.05
+    assert last.cache_use > SPILL_CACHE_USE - 0.05
 
 
 def test_other_halls_are_not_searched_while_the_own_one_has_room(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -195,7 +195,7 @@
     for server in path.servers[1:]:
         without = frozenset({server.facts.id})
         here = site.paths.detour(path, SERVICE, site.model, without)
-        detour = here or site.paths.detour(path, SERVICE, site.model, without, across=True)
+        detour = here or site.paths.detour(path, SERVICE, site.model, without, across_halls=True)
         assert detour is not None
         assert detour.route.stages[0] == path.route.stages[0]
         assert tiles(detour, site.model.layers)
@@ -260,13 +260,13 @@
         path = find_path(found, search)
     for server in found:
         size = model.cache_size(server.facts.accelerator or "", server.facts.held)
-        assert server.cached <= MOST_USE * size
+        assert server.cached <= MAX_CACHE_USE * size
     if path is None and served:
         # Some layer has no holder left with room for one more request on all its layers.
         assert any(
             all(
                 s.cached + demand.cached * s.facts.held
-                > MOST_USE * model.cache_size(s.facts.accelerator or "", s.facts.held)
+                > MAX_CACHE_USE * model.cache_size(s.facts.accelerator or "", s.facts.held)
                 for s in found
                 if s.facts.first <= layer < s.facts.last
             )
@@ -280,7 +280,7 @@
     site.fleet = Fleet()
     held = placed(servers(a={"quick": 3, "fair": 14, "slow": 16}), site.model)
     site.fleet.take([server.facts for server in held], [], outage=False)
-    site.paths = Paths(site.fleet, HallName("a"))
+    site.paths = PathSelector(site.fleet, HallName("a"))
     return site
 
 
@@ -321,7 +321,7 @@
 def test_prompts_that_come_all_at_once_are_spread_over_first_stages() -> None:
     # All daemons of a hall are back after a loss of power, and four callers of each with them.
     site = three_speeds_site()
-    site.paths.daemons = lambda: 20
+    site.paths.daemon_count = lambda: 20
     firsts = []
     for _ in range(4):
         path = site.serve()
@@ -333,7 +333,7 @@
 
 def test_one_prompt_that_is_read_keeps_the_next_from_nowhere() -> None:
     site = three_speeds_site()
-    site.paths.daemons = lambda: 20
+    site.paths.daemon_count = lambda: 20
     first = site.serve().servers[0]
     first.unread = 1
     assert site.serve().servers[0] is first
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -249,15 +249,20 @@
     for number, head in enumerate(heads):
         site.fleet.rest(head, REST + number)
     assert site.choose() is None
-    assert site.paths.covered_in(SERVICE, site.model) == REST
+    assert site.paths.seconds_until_covered(SERVICE, site.model) == REST
     last = heads[-1].facts.id
-    assert site.paths.covered_in(SERVICE, site.model, heads=frozenset({last})) == REST + len(heads) - 1
     assert (
-        site.paths.covered_in(SERVICE, site.model, without=frozenset({last}), heads=frozenset({last}))
+        site.paths.seconds_until_covered(SERVICE, site.model, first_stages=frozenset({last}))
+        == REST + len(heads) - 1
+    )
+    assert (
+        site.paths.seconds_until_covered(
+            SERVICE, site.model, excluded=frozenset({last}), first_stages=frozenset({last})
+        )
         is None
     )
     clock.at += REST
-    assert site.paths.covered_in(SERVICE, site.model) == 0.0
+    assert site.paths.seconds_until_covered(SERVICE, site.model) == 0.0
 
 
 def daemons(count: int) -> tuple[dict[MemberId, Spreading], list[tuple[MemberId, MemberId, Findings]]]:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -13,7 +13,7 @@
 from bayglade.exceptions import BackendError, BackendRefused, NoRoute, Overloaded
 from bayglade.fleet import Fleet
 from bayglade.ids import HallName, RequestId
-from bayglade.paths import Paths
+from bayglade.paths import PathSelector
 from bayglade.quarantine import Quarantine
 from bayglade.relay import MAX_UNREACHED, Attempts
 from bayglade.retries import RetryBudget
@@ -37,7 +37,7 @@
         self.budget = RetryBudget(floor=100.0)
         self.rerouted: list[Any] = []
         control = SimpleNamespace(reroute=self._reroute)
-        paths = Paths(self.fleet, HallName("a"))
+        paths = PathSelector(self.fleet, HallName("a"))
         self.peers: Any = SimpleNamespace(
             fleet=self.fleet,
             paths=paths,
--- a/tests/test_tiling.py
+++ b/tests/test_tiling.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from bayglade.ids import BackendId, HallName, ModelName, ServiceName
-from bayglade.pathfinding import Path, Search, by_hall, find_path
+from bayglade.pathfinding import Path, Search, find_path, group_by_hall
 from bayglade.pipelines import Accelerator, Pipeline
 from bayglade.repair import fill, missing, repair
 from bayglade.servers import Server, ServerFacts
@@ -61,7 +61,7 @@
 
 def paths_of(held: Sequence[Server], model: Pipeline) -> list[Path]:
     """Return the path of each hall, and one over halls that have none of their own."""
-    halls = by_hall(held)
+    halls = group_by_hall(held)
     found = {hall: find_path(each, search(model)) for hall, each in halls.items()}
     others = [server for hall, each in halls.items() if found[hall] is None for server in each]
     over = Search(model, model.usual(), lambda server: server.cached, lambda one, other: 1.0)
