--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -1,8 +1,8 @@
-"""Pathfinding: ways through all layers of a model over what servers hold; plain functions.
+"""Shortest-path search for the chain of servers that runs a request through all layers of a model.
 
-The search is a shortest path over layers. Each request gets a way of its own:
-what is under way on a server counts, so that requests spread over all servers
-that hold a layer. See ``docs/design/placement.md``.
+The search is a dynamic program over layer boundaries. The current load of each
+server is part of its cost, so requests spread over all servers that hold the
+same layers. All functions are pure. See ``docs/design/placement.md``.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -15,27 +15,27 @@
 from bayglade.servers import Server
 
 HOP_MS = 0.25
-"""Cost of one more stage inside a hall: about the delay between two hosts there."""
+"""Cost of one more stage in the same data hall: about the network delay between two hosts there."""
 MAX_CACHE_USE = 0.95
-"""Part of a server's KV cache that requests are sent to fill. What it holds of each differs from the
-expected mean."""
+"""Fraction of a server's KV cache that may be filled. The rest is a margin, because the actual size of a
+request differs from the expected one."""
 CROWDING_EXPONENT = 4
-"""A stage costs as much more as its cache is full, by this power: little up to two thirds, five times
-as much at the most. Requests go round it before it has to turn them away."""
+"""The cost of a stage grows with its cache use to this power: hardly up to two thirds, about fivefold at
+``MAX_CACHE_USE``. This diverts requests from a server before it has to reject them."""
 
 CacheLoadOf = Callable[[Server], float]
-"""Returns what all daemons have in the KV cache of a server: tokens times layers."""
+"""Returns the KV cache of a server that all daemons together have in use, in tokens times layers."""
 CostOf = Callable[[Server], float]
 PrefillCost = Callable[[Server, int, int], float]
-"""Returns what it costs a token more that a server has something to read through the layers from one to
-another before it goes on."""
+"""Returns the extra cost per token if a server first has to prefill (read the prompt) through the layers
+from the first to the second number."""
 StageCosts = Callable[[int], tuple[float, float]]
 CrossingMs = Callable[[HallName, HallName], float]
-"""Returns the milliseconds that a hop to another hall adds to each token."""
+"""Returns the milliseconds that a hop between two data halls adds to each token."""
 
 
 class Path(Place):
-    """One way through all layers for one request, with what it costs a token in milliseconds."""
+    """A chain of stages through all layers for one request; its cost is in milliseconds per token."""
 
     __slots__ = ("cache_use", "cost", "demand", "hall", "route")
 
@@ -48,25 +48,25 @@
         self.demand = demand
         self.hall = servers[0].facts.hall
         self.cache_use = cache_use
-        """Part of the KV cache of its fullest stage that is taken, this request included."""
+        """Fraction of the KV cache in use at the fullest stage, this request included."""
 
     def __repr__(self) -> str:
         return f"<Path {self.cost:.1f} ms {self.route!r}>"
 
     def describe(self) -> str:
-        """Write the stages in short."""
+        """Return the stages as short text for logs."""
         return " ".join(f"{s.backend}[{s.first},{s.last})" for s in self.route.stages)
 
     def take(self, before: Sequence[Server] = ()) -> None:
-        """Count the request on all servers of the path, and take it out of their limits.
+        """Count the request on all servers of the path, and charge their rate limits.
 
-        :param before: servers that run the request already.
+        :param before: servers that already run the request.
         """
         self._count(1.0)
         super().take(before)
 
     def release(self) -> None:
-        """Count the request no longer; if it did not go out, its servers may take another in its place."""
+        """Stop counting the request. If it was never sent, the charge on the rate limits is returned."""
         self._count(-1.0)
         super().release()
 
@@ -77,17 +77,17 @@
 
 
 class Search:
-    """What a search goes by: the model, the request, and what is under way on the servers.
+    """The inputs of a path search: the model, the request, and the load of the servers.
 
     :param pipeline: facts of the model.
-    :param demand: the request.
-    :param taken: what all daemons have in the cache of a server.
-    :param crossing: cost of a hop to another hall; none crosses when left out.
-    :param limited: whether full servers are left out.
-    :param crowding: whether a stage costs more the fuller its cache is.
-    :param begin_ms: returns what a server costs a token more as the first stage.
-    :param factor: returns by how much the cost of a server is taken higher than reckoned.
-    :param reading: cost of what a stage has to read first: prompts of others, or the request anew.
+    :param demand: the size of the request.
+    :param cache_load: returns the KV cache in use on a server, by all daemons.
+    :param crossing_ms: cost of a hop between data halls; if omitted, no path leaves its hall.
+    :param enforce_capacity: whether servers without room are skipped.
+    :param crowding: whether the cost of a stage grows with its cache use.
+    :param first_stage_ms: returns the extra cost of a server as the first stage.
+    :param cost_factor: returns a factor on the cost of a server.
+    :param prefill_cost: returns the cost of what a stage has to prefill before it goes on.
     """
 
     __slots__ = (
@@ -127,7 +127,7 @@
         self.typical_cached = pipeline.usual().cached
 
     def hop_ms(self, one: HallName | None, other: HallName) -> float:
-        """Return the cost of handing a token on; nothing before the first stage."""
+        """Return the cost of passing a token on to the next stage; zero before the first stage."""
         if one is None:
             return 0.0
         if one == other:
@@ -136,7 +136,7 @@
 
 
 class _PartialPath:
-    """The cheapest known way to a layer: its last stage and the way before it."""
+    """The cheapest known path up to a layer: its last stage, and the partial path before that."""
 
     __slots__ = ("cache_use", "cost", "first", "last", "previous", "server")
 
@@ -166,41 +166,41 @@
 
 
 def find_path(servers: Iterable[Server], search: Search) -> Path | None:
-    """Find the cheapest path over some servers.
+    """Find the cheapest path over the given servers.
 
     :param servers: the servers that may be used.
-    :param search: the request and what is under way.
-    :return: the path, or nothing when they do not hold all layers or have no room.
+    :param search: the inputs of the search.
+    :return: the path, or None if the servers lack a layer or have no room.
     """
     return _build_path(_search(servers, search, _PartialPath(0.0, None, 0, 0, None, 0.0)), search)
 
 
 def find_detour(path: Path, servers: Iterable[Server], search: Search) -> Path | None:
-    """Find another way behind the first stage of a path.
+    """Find another path behind the first stage of an existing path.
 
-    :param path: the path; its first stage stays as it is.
-    :param servers: the servers that may be used behind it.
-    :param search: the request and what is under way.
-    :return: the path, or nothing when they do not hold the other layers or have no room.
+    :param path: the existing path; its first stage is kept.
+    :param servers: the servers that may be used for the later stages.
+    :param search: the inputs of the search.
+    :return: the path, or None if the servers lack one of the other layers or have no room.
     """
     stage = path.route.stages[0]
     start = _PartialPath(0.0, path.servers[0], stage.first, stage.last, None, 0.0)
-    # A stage that stays as it is keeps its memory of the request only with the same layers.
+    # A kept stage can reuse its KV cache of the request only if its layers stay the same.
     bounds = [stage.last for stage in path.route.stages]
     return _build_path(_search(servers, search, start, bounds), search)
 
 
 def stage_costs(server: Server, search: Search, cache_load: float) -> StageCosts:
-    """Return what a server costs as a stage, by how many of its layers the stage runs.
+    """Return the cost of a server as a stage, as a function of the number of layers that it runs.
 
-    A pass of a server serves all its requests together, so each waits for the
-    work of all of them.
+    A server runs all its requests in one batch, so each request waits for the
+    work of the whole batch.
 
-    :param server: the server, of a kind that the model runs on.
-    :param search: the request.
-    :param taken: what is in its cache already, in tokens times layers.
-    :return: takes a number of layers; returns the milliseconds a token takes there, and how full the
-        cache is then. The cost is infinite when the request does not fit.
+    :param server: the server, of an accelerator kind that the model runs on.
+    :param search: the inputs of the search.
+    :param cache_load: the KV cache already in use there, in tokens times layers.
+    :return: a function from a number of layers to the milliseconds per token and the resulting cache
+        use. The cost is infinite if the request does not fit.
     """
     facts, pipeline = server.facts, search.pipeline
     accelerator = facts.accelerator or ""
@@ -217,7 +217,7 @@
     def cost(layers: int) -> tuple[float, float]:
         cache_use = (cache_load + cached * layers) / size if size > 0 else float("inf")
         if cache_use > MAX_CACHE_USE:
-            # One that is larger than the whole cache may run alone.
+            # A request larger than the whole cache may still run alone.
             if size <= 0 or (search.enforce_capacity and cache_load > 0):
                 return float("inf"), cache_use
             cache_use = MAX_CACHE_USE
@@ -225,7 +225,7 @@
         return time / (1.0 - cache_use**CROWDING_EXPONENT) if search.crowding else time, cache_use
 
     def costs(layers: int) -> tuple[float, float]:
-        # Stages meet at many bounds, and many of them are as long as others.
+        # Many of the spans between boundaries have the same length.
         found = memo.get(layers)
         if found is None:
             found = memo[layers] = cost(layers)
@@ -235,33 +235,33 @@
 
 
 PartialPaths = dict[int, dict[HallName | None, _PartialPath]]
-"""The cheapest ways to each layer, by the hall in which they end."""
+"""The cheapest partial paths to each layer, by the data hall in which they end."""
 
 
 def _search(
     servers: Iterable[Server], search: Search, start: _PartialPath, bounds: Iterable[int] = ()
 ) -> _PartialPath | None:
-    """Find the cheapest way from a start to the last layer.
+    """Find the cheapest path from a start to the last layer.
 
-    Servers are taken in the order of their last layers, so that no way comes
-    back to a server that it has left.
+    Servers are visited in the order of their last layers, so no path uses a
+    server twice.
     """
     eligible = [s for s in servers if s.facts.held > 0 and s.facts.fits(search.pipeline)]
     eligible.sort(key=lambda s: (s.facts.last, s.facts.first, s.facts.id))
     hall = start.server.facts.hall if start.server is not None else None
     partials: PartialPaths = {start.last: {hall: start}}
-    # Stages meet where some server's layers begin or end: requests spread over servers
-    # that hold the same layers, so none of these has to be divided.
+    # Stages meet only where the layers of some server begin or end. Requests spread over servers
+    # that hold the same layers, so no span needs to be split further.
     ends = {bound for s in eligible for bound in (s.facts.first, s.facts.last)}
     boundaries = sorted(ends.union(bounds, {start.last}))
     for server in eligible:
         _extend(partials, server, boundaries, search)
     complete = partials.get(search.pipeline.layers, {})
-    return min(complete.values(), key=lambda reach: reach.cost, default=None)
+    return min(complete.values(), key=lambda partial: partial.cost, default=None)
 
 
 def _extend(partials: PartialPaths, server: Server, bounds: Sequence[int], search: Search) -> None:
-    """Extend the known ways by one stage on a server."""
+    """Extend the known partial paths by one stage on a server."""
     facts = server.facts
     starts = [bound for bound in bounds if facts.first <= bound < facts.last and bound in partials]
     if not starts:
@@ -273,7 +273,7 @@
     extended: list[_PartialPath] = []
     for begin in starts:
         cost, previous = min(
-            ((way.cost + search.hop_ms(hall, facts.hall), way) for hall, way in partials[begin].items()),
+            ((p.cost + search.hop_ms(hall, facts.hall), p) for hall, p in partials[begin].items()),
             key=lambda entry: entry[0],
         )
         if previous.server is None and search.first_stage_ms is not None:
@@ -291,11 +291,11 @@
                         cost + stage_cost, server, begin, end, previous, max(cache_use, previous.cache_use)
                     )
                 )
-    for reach in extended:
-        by_hall = partials.setdefault(reach.last, {})
+    for partial in extended:
+        by_hall = partials.setdefault(partial.last, {})
         known = by_hall.get(facts.hall)
-        if known is None or reach.cost < known.cost:
-            by_hall[facts.hall] = reach
+        if known is None or partial.cost < known.cost:
+            by_hall[facts.hall] = partial
 
 
 def _build_path(partial: _PartialPath | None, search: Search) -> Path | None:
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -1,8 +1,9 @@
-"""Paths: which way through the model a request takes.
+"""Choice of the path of a request: which servers run which layers of the model.
 
-A path inside the caller's data hall comes first. When that hall is short of
-room or slow, the others are compared with it; only where no hall has a whole
-way, stages of several halls make up one. See :mod:`bayglade.pathfinding`.
+A path inside the daemon's own data hall is preferred. Other halls are compared
+only when that hall is nearly full or slow, and a path across several halls is
+used only when no single hall can run all layers well. The search itself is in
+:mod:`bayglade.pathfinding`.
 """
 
 import math
@@ -21,24 +22,25 @@
 from bayglade.servers import SLOW_PACE, Server
 
 SPILL_CACHE_USE = 0.75
-"""How full the fullest stage of the own hall may be before other halls are compared with it."""
+"""Cache use of the own hall's fullest stage above which other halls are compared with it."""
 REMOTE_COST_FACTOR = 2.0
-"""How many times as costly the own hall must be before another one is taken, and a hall before a way
-over several: what is known of the others is a second old, and all daemons would move to the same one."""
+"""The own hall must cost this many times as much before another one is used, and a single hall before a
+path across several. Data about other halls is a second old, and without this margin all daemons would
+move to the same hall at once."""
 COLD_FIRST_STAGE_MS = 2.0
-"""What a first stage to which no connection rests costs more. Each new connection is paid for, and
-by cost alone a daemon goes round all first stages of its hall: nearly a new one a request."""
+"""Extra cost of a first stage without an idle connection. Opening connections is billed, and by cost
+alone a daemon would rotate over all first stages of its hall and open nearly one per request."""
 COST_JITTER = 0.15
-"""Part by which costs vary by chance: what is known of other daemons is seconds old, and without this
-all of them find the same server the best one and fill it at once."""
+"""Random part of the cost of a server. Data about other daemons is seconds old; without jitter all daemons
+would pick the same best server and fill it at once."""
 WAIT_TOKENS = 8
-"""Tokens over which a wait is set against the time of a token when stages are chosen: a wait makes an
-answer late, a slower token does not, so fewer than most answers have."""
+"""Tokens over which a one-time wait is spread when it is compared with a cost per token. Fewer than most
+answers have, because a wait can make an answer late and a somewhat slower token does not."""
 NO_LOAD = ServerLoad(BackendId(""), 0, 0)
 
 
 class PathSelector:
-    """The paths of one daemon's requests."""
+    """Selects the paths of one daemon's requests."""
 
     def __init__(
         self,
@@ -49,17 +51,17 @@
     ) -> None:
         self.rng = rng
         self.has_idle_connection: Callable[[BackendId], bool] = lambda backend: True
-        """Tells whether a connection to a server rests here."""
+        """Returns whether this daemon holds an idle connection to a server."""
 
         self.fleet = fleet
         self.hall = hall
         self.without = without
         self.pipes = Pipes()
         self.remote_loads: Callable[[], dict[ServerKey, ServerLoad]] = dict
-        """Returns what other daemons have under way on servers."""
+        """Returns the load that other daemons have put on the servers."""
 
         self.daemon_count: Callable[[], int] = lambda: 1
-        """Returns how many daemons the hall has, whose callers come as those of this one do."""
+        """Returns the number of daemons in this hall; they are assumed to receive similar traffic."""
 
     def __repr__(self) -> str:
         return f"<Paths in {self.hall}>"
@@ -72,14 +74,14 @@
         excluded: frozenset[BackendId] = frozenset(),
         first_stages: frozenset[BackendId] | None = None,
     ) -> Path | None:
-        """Choose a path for one request, with room on all its servers.
+        """Choose a path with room on all its servers.
 
         :param service: the service whose servers hold the model.
         :param pipeline: facts of the model.
-        :param demand: the request.
-        :param without: servers not to use.
-        :param heads: the only servers that may be the first stage; any when left out.
-        :return: the path, not taken yet; nothing when there is none with room.
+        :param demand: the size of the request.
+        :param excluded: servers that must not be used.
+        :param first_stages: the only servers allowed as the first stage; any if omitted.
+        :return: the path, not yet reserved, or None if there is none with room.
         """
         loads = self.remote_loads()
         at = now()
@@ -103,24 +105,24 @@
         return whole
 
     def _request_quota(self, service: ServiceName) -> None:
-        """Have requests lent to the servers that name a limit, those of the own hall before others."""
+        """Request quota for rate-limited servers; those of the own hall take precedence."""
         at = now()
         limited = [s for s in self.fleet.of(service) if s.throttle is not None and s.sound(at)]
         near = [server for server in limited if server.facts.hall == self.hall]
         self.fleet.rate_limits.want(near or limited)
 
     def _needs_comparison(self, own: Path) -> bool:
-        """Tell whether other halls are compared with a path of the own one."""
+        """Return whether other halls should be compared with a path of the own hall."""
         if Mechanism.SPILL in self.without:
             return False
         return own.cache_use > SPILL_CACHE_USE or any(s.pace > SLOW_PACE for s in own.servers)
 
     def take(self, path: Path, pipeline: Pipeline, previous: Path | None = None) -> None:
-        """Count a request on the servers of its path and on the pipes that it crosses.
+        """Count a request on the servers of its path and on the inter-hall pipes that it crosses.
 
-        :param path: a path that was found just now; released when the request leaves it.
+        :param path: a path that was just found; the request releases it when it ends or moves.
         :param pipeline: facts of the model.
-        :param before: the path that a running request leaves for it.
+        :param previous: the path that a running request leaves for this one.
         """
         path.take(previous.servers if previous is not None else ())
         self.pipes.sends((server.facts.hall for server in path.servers), pipeline, path.demand)
@@ -132,14 +134,14 @@
         excluded: frozenset[BackendId] = frozenset(),
         first_stages: frozenset[BackendId] | None = None,
     ) -> float | None:
-        """Tell when servers that may be used hold all layers, whether or not they have room.
+        """Return when the permitted servers cover all layers, whether or not they have room.
 
         :param service: the service whose servers hold the model.
         :param pipeline: facts of the model.
-        :param without: servers not to use.
-        :param heads: the only servers that may be the first stage; any when left out.
-        :return: seconds until enough servers take requests again that do not now for their rests and
-            limits; nothing when that alone does not help.
+        :param excluded: servers that must not be used.
+        :param first_stages: the only servers allowed as the first stage; any if omitted.
+        :return: seconds until enough of the servers that pause or are rate-limited accept requests
+            again; None if that alone is not enough.
         """
         at = now()
         servers = [
@@ -163,7 +165,7 @@
         return openings[index] - at if index < len(openings) else None
 
     def typical_by_hall(self, service: ServiceName, pipeline: Pipeline) -> list[Path]:
-        """List the path that a usual request would take in each hall now, cheapest first."""
+        """Return the path that a typical request would take in each hall now, cheapest first."""
         search = Search(
             pipeline, pipeline.usual(), _total_cache_load(self.remote_loads()), enforce_capacity=False
         )
@@ -182,12 +184,13 @@
     ) -> Path | None:
         """Find a path with the same first stage that avoids some servers.
 
-        :param path: the path that a request is on.
+        :param path: the current path of a request.
         :param service: the service whose servers hold the model.
         :param pipeline: facts of the model.
-        :param without: servers to avoid.
-        :param across: whether stages of other halls may step in; all tokens so far cross the pipe then.
-        :return: the path, not taken yet; nothing when there is none with room.
+        :param excluded: servers to avoid.
+        :param across_halls: whether stages of other halls may be used; all tokens so far are then
+            transferred between halls.
+        :return: the path, not yet reserved, or None if there is none with room.
         """
         head = path.servers[0]
         if head.facts.id in excluded:
@@ -197,7 +200,7 @@
         usable = [
             s
             for s in self.fleet.sound(service)
-            # A stage that takes nothing new goes on with what it runs.
+            # A stage that accepts no new requests still continues those that it runs.
             if s.facts.id not in excluded and s is not head and (s.opens_at(at) <= at or s in path.servers)
         ]
         search = self._search_for(pipeline, path.demand, self.remote_loads())
@@ -207,7 +210,7 @@
         return within_halls or (self._find_across_halls(usable, search, path) if across_halls else None)
 
     def _search_for(self, pipeline: Pipeline, demand: Demand, loads: dict[ServerKey, ServerLoad]) -> Search:
-        """Return a search that goes by what is under way here and at other daemons."""
+        """Return the inputs of a search over the load of this and all other daemons."""
         return Search(
             pipeline,
             demand,
@@ -218,22 +221,22 @@
         )
 
     def _first_stage_ms(self, pipeline: Pipeline, demand: Demand) -> CostOf:
-        """Return what a server costs a token more as the first stage: a new connection, and prompts that
-        wait to be read there.
+        """Return the extra cost of a server as the first stage: a new connection, and queued prefills.
 
-        After a loss of power of all, callers come back within some tenths of a second; their prompts would
-        all wait at the quickest first stage of a hall, past their aim. Other daemons are taken to have as
-        much to read as this one, but for one request, as requests usually come one by one.
+        After a power loss of a whole site all callers come back within some tenths of a second. Without
+        this cost their prompts would queue at the fastest first stage of a hall and miss their latency
+        objective. Other daemons are assumed to have as many prompts queued there as this one, apart
+        from one, because requests usually arrive one at a time.
         """
 
-        def begin_ms(server: Server) -> float:
+        def first_stage_ms(server: Server) -> float:
             cold = Mechanism.WARM not in self.without and not self.has_idle_connection(server.facts.id)
             ahead = max(0, server.unread - 1) * self.daemon_count()
             kind = server.facts.accelerator or ""
             prefill_ms = pipeline.reading_time(kind, demand.prompt, server.facts.held) if ahead else 0.0
             return (COLD_FIRST_STAGE_MS if cold else 0.0) + ahead * prefill_ms / WAIT_TOKENS
 
-        return begin_ms
+        return first_stage_ms
 
     def _jitter(self, server: Server) -> float:
         return 1.0 if self.rng is None else self.rng.uniform(1.0, 1.0 + COST_JITTER)
@@ -241,19 +244,19 @@
     def _find_across_halls(
         self, usable: list[Server], search: Search, path: Path | None = None
     ) -> Path | None:
-        """Find a path over several halls, or such a way behind the first stage of a path."""
+        """Find a path across several halls, or one behind the first stage of an existing path."""
         if Mechanism.CROSSING in self.without:
             return None
         pipeline, demand = search.pipeline, search.demand
 
-        def crossing(one: HallName, other: HallName) -> float:
+        def pipe_ms(one: HallName, other: HallName) -> float:
             return self.pipes.crossing_ms(one, other, pipeline, demand)
 
         wide = Search(
             pipeline,
             demand,
             search.cache_load,
-            crossing,
+            pipe_ms,
             search.enforce_capacity,
             search.crowding,
             search.first_stage_ms,
@@ -264,11 +267,11 @@
 
 
 def _replay_cost(path: Path, search: Search, excluded: frozenset[BackendId]) -> PrefillCost:
-    """Return the cost of reading a running request's tokens anew, where a stage does not stay as it is.
+    """Return the cost of prefilling a running request's tokens again, for stages that change.
 
-    All requests on a lost stage move at once, and each server reads those of all that move to it. By the
-    cost of a token alone all would move to the few quickest servers and read many more layers anew than
-    were lost.
+    All requests on a lost stage move at once, and a server has to prefill every request that moves to it.
+    By the cost per token alone, all would move to the few fastest servers and prefill many more layers
+    than were lost.
     """
     pipeline = search.pipeline
     kept_spans = {
@@ -280,42 +283,42 @@
         [1.0, *(search.cache_load(s) / (pipeline.usual().cached * max(1, s.facts.held)) for s in abandoned)]
     )
 
-    def reading(server: Server, first: int, last: int) -> float:
+    def replay_cost(server: Server, first: int, last: int) -> float:
         if kept_spans.get(server.facts.id) == (first, last):
             return 0.0
         kind = server.facts.accelerator or ""
         return moving_requests * pipeline.reading_time(kind, path.demand.cached, last - first) / WAIT_TOKENS
 
-    return reading
+    return replay_cost
 
 
 def _prefer_near(near: Path | None, far: Path | None) -> Path | None:
-    """Return the near one of two paths, unless the far one is a good deal cheaper."""
+    """Return the nearer of two paths, unless the farther one is much cheaper."""
     if near is None or far is None:
         return near or far
     return near if near.cost <= REMOTE_COST_FACTOR * far.cost else far
 
 
 def _total_cache_load(loads: dict[ServerKey, ServerLoad]) -> Callable[[Server], float]:
-    def taken(server: Server) -> float:
+    def total(server: Server) -> float:
         load = loads.get(server.facts.key)
         return server.cached + (load.cached if load is not None else 0.0)
 
-    return taken
+    return total
 
 
 def _coverage_search(pipeline: Pipeline) -> Search:
-    """Return a search that looks at nothing but which layers are held."""
+    """Return a search that considers only which layers are held, neither load nor cost."""
     return Search(pipeline, pipeline.usual(), lambda _: 0.0, lambda one, other: 0.0, enforce_capacity=False)
 
 
 def _has_room_as_first(server: Server, load: ServerLoad, first_stages: frozenset[BackendId] | None) -> bool:
-    """Tell whether a server may be used, given that it would be the first stage if it can be."""
+    """Return whether a server may be used; slots only count for servers that hold the first layer."""
     if server.facts.first > 0:
         return True
     return _allowed_as_first(server, first_stages) and server.in_flight + load.heads < server.facts.slots
 
 
 def _allowed_as_first(server: Server, first_stages: frozenset[BackendId] | None) -> bool:
-    """Tell whether a server is no first stage, or one that a request may be sent to."""
+    """Return whether a server holds no first layer, or is allowed as the first stage."""
     return server.facts.first > 0 or first_stages is None or server.facts.id in first_stages
--- a/bayglade/routing.py
+++ b/bayglade/routing.py
@@ -1,8 +1,8 @@
-"""Choice of the route of a request: which servers run which layers.
+"""Choice of the route of a completion: which servers run which layers.
 
-A route tiles all layers of a model without gap or overlap. The choice is the
-cheapest path over a sample of the servers that have room; sampling keeps many
-daemons from running to the same server on the same stale news.
+A route covers all layers of a model without gap or overlap. It is the cheapest
+one over a random sample of the servers with room; sampling keeps many daemons
+from choosing the same server on the same outdated load data.
 """
 
 import random
@@ -16,18 +16,18 @@
 COST_JITTER = 0.05
 
 LinkSeconds = Callable[[HallName, HallName], float]
-"""Seconds one way between two data halls."""
+"""Returns the one-way delay between two data halls, in seconds."""
 
 PartialRoute = tuple[float, tuple[Stage, ...]]
-"""Cost in seconds a token and the stages from a position on."""
+"""Cost in seconds per token, and the stages from a position to the last layer."""
 
 
 def covers(states: Sequence[BackendState], layers: int) -> bool:
-    """Tell whether servers can tile all layers, whether or not they have room.
+    """Return whether servers cover all layers, whether or not they have room.
 
     :param states: servers of one version of a model.
     :param layers: the number of layers of the model.
-    :return: true when a route exists.
+    :return: true if a route exists.
     """
     covered = 0
     while covered < layers:
@@ -49,10 +49,10 @@
 
     :param states: usable servers of one version of a model that have room.
     :param layers: the number of layers of the model.
-    :param hall: where the daemon stands.
+    :param hall: the data hall of this daemon.
     :param link_seconds: the delay between two data halls.
-    :param rng: source of the sample and of the noise that breaks ties.
-    :return: the stages in order; nothing when the servers do not tile the model.
+    :param rng: source of the sample and of the cost jitter, which also breaks ties.
+    :return: the stages in order; None if the servers do not cover the model.
     """
     memo: dict[tuple[int, HallName], PartialRoute | None] = {}
 
@@ -66,13 +66,13 @@
     def _cheapest(position: int, at: HallName) -> PartialRoute | None:
         cheapest: PartialRoute | None = None
         for state in _candidates(states, position, rng):
-            rest = best(state.facts.last, state.facts.hall)
-            if rest is None:
+            remainder = best(state.facts.last, state.facts.hall)
+            if remainder is None:
                 continue
-            cost = rest[0] + link_seconds(at, state.facts.hall) + _stage_cost(state, position, rng)
+            cost = remainder[0] + link_seconds(at, state.facts.hall) + _stage_cost(state, position, rng)
             if cheapest is None or cost < cheapest[0]:
                 stage = Stage(state.id, state.facts.address, position, state.facts.last)
-                cheapest = cost, (stage, *rest[1])
+                cheapest = cost, (stage, *remainder[1])
         return cheapest
 
     chosen = best(0, hall)
