--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -126,7 +126,7 @@
             self._keeper,
             self._route,
             self._push,
-            peers.wait_queues.wake,
+            peers.wait_queues.grant_places,
             rng,
         )
         if config.peer_ports:
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -153,7 +153,7 @@
                 break
         finally:
             run.path.release()
-            peers.wait_queues.note_end(call.service)
+            peers.wait_queues.note_completion(call.service)
         await_word(peers, call)
     raise attempts.error(peers.rng)
 
@@ -231,7 +231,7 @@
         path := seek_without(avoided | others)
     ) is not None:
         return path
-    if not peers.wait_queues.busy(call.service):
+    if not peers.wait_queues.has_waiters(call.service):
         path = seek()
         if path is not None:
             return path
@@ -245,15 +245,15 @@
     until = min(call.deadline, since + WAIT_SECONDS)
     # What may have run cannot be refused as not run: it waits for layers that are being loaded as well.
     expected = max(
-        rest or 0.0, peers.wait_queues.expected_seconds(call.service), _limited_seconds(peers, call)
+        rest or 0.0, peers.wait_queues.expected_wait(call.service), _limited_seconds(peers, call)
     )
     if now() + expected <= until and Mechanism.WAITING not in peers.without:
-        path = peers.wait_queues.wait(call, seek, until, choosy=bool(avoided) or heads is not None)
+        path = peers.wait_queues.wait(call, seek, until, restricted=bool(avoided) or heads is not None)
         if path is not None:
             return path
     attempts.full_for = expected
     if expected > 0:
-        peers.wait_queues.sent_away(call.service, expected)
+        peers.wait_queues.note_deferred(call.service, expected)
     event(
         "INFO", "no room", request=call.head.id, expected=round(expected, 2), waited=round(now() - since, 3)
     )
@@ -263,7 +263,7 @@
 def _limited_seconds(peers: Peers, call: Call) -> float:
     """Return how long a new stream waits where all first stages name limits; zero where one does not."""
     heads = [s for s in peers.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
-    ahead = peers.wait_queues.ahead(call.service)
+    ahead = peers.wait_queues.count_ahead(call.service)
     return peers.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
 
 
@@ -287,7 +287,7 @@
 
     choosy = bool(avoided) or attempts.only() is not None
     path = peers.wait_queues.wait(
-        call, seek, call.deadline, choosy, begun=True, hopeless=lambda: peers.quarantine.holds(call)
+        call, seek, call.deadline, choosy, begun=True, should_give_up=lambda: peers.quarantine.holds(call)
     )
     event(
         "INFO",
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -19,14 +19,14 @@
 from bayglade.settings import ROOT
 from bayglade.usage import Usage
 
-TURN_SECONDS = 0.06
+POLL_INTERVAL_SECONDS = 0.06
 """Time between looks while no own request ends: places become free on other daemons' requests too."""
-RATE_SECONDS = 3.0
+RATE_TIME_CONSTANT = 3.0
 """Time constant of the rate at which requests end: about as long as one runs."""
 
-MAX_AWAY = 1000
+MAX_DEFERRED = 1000
 """Callers that were sent away and are kept in mind, for each service."""
-MAX_ASIDE = 4
+MAX_SKIPPED = 4
 """Requests that are passed over in one look for places: each costs a search for a path."""
 
 BEGUN_PRIORITY = 1 << 16
@@ -34,7 +34,7 @@
 
 P = TypeVar("P", bound=Place)
 
-Seek = Callable[[], P | None]
+TryReserve = Callable[[], P | None]
 """Returns a place with room that the request has taken, if there is one."""
 
 
@@ -42,15 +42,17 @@
     return False
 
 
-class Turn:
+class Waiter:
     """A request that waits: how a place is sought for it, and who is told."""
 
-    __slots__ = ("choosy", "granted", "hopeless", "seek")
+    __slots__ = ("granted", "restricted", "should_give_up", "try_reserve")
 
-    def __init__(self, seek: Seek[Place], choosy: bool, hopeless: Callable[[], bool]) -> None:
-        self.seek = seek
-        self.choosy = choosy
-        self.hopeless = hopeless
+    def __init__(
+        self, try_reserve: TryReserve[Place], restricted: bool, should_give_up: Callable[[], bool]
+    ) -> None:
+        self.try_reserve = try_reserve
+        self.restricted = restricted
+        self.should_give_up = should_give_up
         self.granted = Event()
 
 
@@ -64,12 +66,12 @@
     def __init__(self, usage: Usage, share_of: ShareOf) -> None:
         self.usage = usage
         self.share_of = share_of
-        self.queues: dict[ServiceName, ShareQueue[Turn]] = {}
-        self.ended: dict[ServiceName, Decayed] = {}
-        self.away: dict[ServiceName, deque[float]] = {}
+        self.queues: dict[ServiceName, ShareQueue[Waiter]] = {}
+        self.completed: dict[ServiceName, Decayed] = {}
+        self.expected_retries: dict[ServiceName, deque[float]] = {}
         """When callers that were sent away are to come back, in monotonic seconds."""
 
-        self.begun = Event()
+        self.became_nonempty = Event()
         """Sent when a request waits while none did."""
 
     def __repr__(self) -> str:
@@ -79,43 +81,43 @@
         """Return how many requests wait."""
         return sum(len(queue) for queue in self.queues.values())
 
-    def busy(self, service: ServiceName) -> bool:
+    def has_waiters(self, service: ServiceName) -> bool:
         """Tell whether requests wait already that a new one goes behind.
 
         It goes past those that may go to some servers only.
         """
-        return any(not waiting.entry.choosy for waiting in self._queue(service).all())
+        return any(not waiting.entry.restricted for waiting in self._queue(service).all())
 
-    def ahead(self, service: ServiceName) -> int:
+    def count_ahead(self, service: ServiceName) -> int:
         """Return how many requests go before a new one: waiting ones and some to come back."""
-        away = self.away.get(service, deque())
+        expected_retries = self.expected_retries.get(service, deque())
         at = now()
-        while away and away[0] <= at:
-            away.popleft()
-        return len(self._queue(service)) + len(away)
+        while expected_retries and expected_retries[0] <= at:
+            expected_retries.popleft()
+        return len(self._queue(service)) + len(expected_retries)
 
-    def sent_away(self, service: ServiceName, seconds: float) -> None:
+    def note_deferred(self, service: ServiceName, seconds: float) -> None:
         """Note that a caller was told to come back, so that the next one is told a later time.
 
         :param service: the service.
         :param seconds: when it is to come back at the earliest.
         """
-        self.away.setdefault(service, deque(maxlen=MAX_AWAY)).append(now() + seconds)
+        self.expected_retries.setdefault(service, deque(maxlen=MAX_DEFERRED)).append(now() + seconds)
 
-    def expected_seconds(self, service: ServiceName) -> float:
+    def expected_wait(self, service: ServiceName) -> float:
         """Return how long a new request would wait, as requests of this daemon end now."""
-        ended = self.ended.get(service)
-        rate = ended.rate(now()) if ended is not None else 0.0
+        completed = self.completed.get(service)
+        rate = completed.rate(now()) if completed is not None else 0.0
         return len(self._queue(service)) / rate if rate > 0 else 0.0
 
     def wait(
         self,
         call: Call,
-        seek: Seek[P],
+        try_reserve: TryReserve[P],
         until: float,
-        choosy: bool = False,
+        restricted: bool = False,
         begun: bool = False,
-        hopeless: Callable[[], bool] = _never,
+        should_give_up: Callable[[], bool] = _never,
     ) -> P | None:
         """Wait for a place.
 
@@ -129,81 +131,81 @@
         :return: the place, taken; nothing when there was none in time.
         """
         queue = self._queue(call.service)
-        turn = Turn(seek, choosy, hopeless)
+        waiter = Waiter(try_reserve, restricted, should_give_up)
         priority = BEGUN_PRIORITY if begun else call.priority
-        waiting = Waiting(call.group or ROOT, priority, cost(call), until, turn)
+        waiting = Waiting(call.group or ROOT, priority, token_cost(call), until, waiter)
         queue.push(waiting)
-        if not self.begun.ready():
-            self.begun.send()
+        if not self.became_nonempty.ready():
+            self.became_nonempty.send()
         granted: P | None = None
         try:
             with eventlet.Timeout(max(0.0, until - now()), False):
-                granted = turn.granted.wait()
+                granted = waiter.granted.wait()
         except BaseException:
             # The caller left: a place that was found in the same moment is given back.
-            if not queue.remove(waiting) and turn.granted.ready():
-                if (place := turn.granted.wait()) is not None:
+            if not queue.remove(waiting) and waiter.granted.ready():
+                if (place := waiter.granted.wait()) is not None:
                     place.release()
-                self.wake(call.service)
+                self.grant_places(call.service)
             raise
         if granted is None and not queue.remove(waiting):
             # The place was found, or the wait ended, in the same moment as the time.
-            granted = turn.granted.wait()
+            granted = waiter.granted.wait()
         return granted
 
-    def note_end(self, service: ServiceName) -> None:
+    def note_completion(self, service: ServiceName) -> None:
         """Note that a request has ended, and give its place to who waits."""
-        if service not in self.ended:
-            self.ended[service] = Decayed(RATE_SECONDS)
-        self.ended[service].add(1.0, now())
-        self.wake(service)
+        if service not in self.completed:
+            self.completed[service] = Decayed(RATE_TIME_CONSTANT)
+        self.completed[service].add(1.0, now())
+        self.grant_places(service)
 
-    def wake(self, service: ServiceName) -> None:
+    def grant_places(self, service: ServiceName) -> None:
         """Give places to those who wait, in their order, while there are any.
 
         Who may go to some servers only is passed over: it would keep the head of the line though others
         have room.
         """
         queue = self._queue(service)
-        aside: list[Waiting[Turn]] = []
-        while len(aside) <= MAX_ASIDE and (waiting := queue.pop()) is not None:
-            if waiting.entry.hopeless():
+        skipped: list[Waiting[Waiter]] = []
+        while len(skipped) <= MAX_SKIPPED and (waiting := queue.pop()) is not None:
+            if waiting.entry.should_give_up():
                 waiting.entry.granted.send(None)
                 continue
-            place = waiting.entry.seek()
+            place = waiting.entry.try_reserve()
             if place is not None:
                 waiting.entry.granted.send(place)
                 continue
-            aside.append(waiting)
-            if not waiting.entry.choosy:
+            skipped.append(waiting)
+            if not waiting.entry.restricted:
                 break
-        for waiting in reversed(aside):
+        for waiting in reversed(skipped):
             queue.restore(waiting)
 
     def run(self) -> None:
         """Look for places now and then while requests wait, for ever."""
         while True:
-            self.begun.wait()
-            self.begun = Event()
+            self.became_nonempty.wait()
+            self.became_nonempty = Event()
             while self.waiting():
-                eventlet.sleep(TURN_SECONDS)
-                self._look()
+                eventlet.sleep(POLL_INTERVAL_SECONDS)
+                self._grant_all()
 
-    def _look(self) -> None:
+    def _grant_all(self) -> None:
         for service, queue in list(self.queues.items()):
             if len(queue):
-                self.wake(service)
+                self.grant_places(service)
 
     def charge(self, call: Call) -> None:
         """Count the service of a call to its group."""
-        self.usage.charge(call.group or ROOT, cost(call))
+        self.usage.charge(call.group or ROOT, token_cost(call))
 
-    def _queue(self, service: ServiceName) -> ShareQueue[Turn]:
+    def _queue(self, service: ServiceName) -> ShareQueue[Waiter]:
         if service not in self.queues:
             self.queues[service] = ShareQueue(self.usage, self.share_of)
         return self.queues[service]
 
 
-def cost(call: Call) -> float:
+def token_cost(call: Call) -> float:
     """Return the tokens that a call may take; at least one."""
     return max(1.0, float(call.head.prompt_tokens + call.head.answer_tokens))
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -99,11 +99,11 @@
         return place
 
     attempts.full_for = None
-    in_turn = not peers.wait_queues.busy(call.service)
+    in_turn = not peers.wait_queues.has_waiters(call.service)
     if in_turn and (place := seek()) is not None:
         return place
     servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
-    expected = peers.fleet.rate_limits.expected_wait(servers, peers.wait_queues.ahead(call.service))
+    expected = peers.fleet.rate_limits.expected_wait(servers, peers.wait_queues.count_ahead(call.service))
     if expected is None and not in_turn and (place := seek()) is not None:
         # Those that wait are about to be let go: there is a server without a limit.
         return place
@@ -113,11 +113,11 @@
     # Later it could not be answered before its deadline.
     until = min(call.deadline - call.endpoint.aim, call.arrived + WAIT_SECONDS)
     if now() + expected <= until and any(server.throttle is not None for server in servers):
-        place = peers.wait_queues.wait(call, seek, until, choosy=bool(attempts.tried))
+        place = peers.wait_queues.wait(call, seek, until, restricted=bool(attempts.tried))
         if place is not None:
             return place
     attempts.full_for = expected
-    peers.wait_queues.sent_away(call.service, expected)
+    peers.wait_queues.note_deferred(call.service, expected)
     event("INFO", "no room", request=call.head.id, expected=round(expected, 2))
     return None
 
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -208,7 +208,7 @@
 
 
 def test_a_begun_stream_is_not_given_up_for_the_wait_that_is_expected(scene: Scene) -> None:
-    scene.peers.wait_queues.expected_seconds = lambda service: 60.0
+    scene.peers.wait_queues.expected_wait = lambda service: 60.0
     task = scene.start(scene.break_off_full)
     eventlet.sleep(WAIT / 2)
     scene.fill(-FULL)
@@ -333,7 +333,7 @@
     eventlet.sleep(0)
     assert scene.wait_queues.waiting() == 0
     scene.fill(-FULL)
-    scene.wait_queues.wake(SERVICE)
+    scene.wait_queues.grant_places(SERVICE)
     eventlet.sleep(0)
     assert scene.attempts == 1
     assert scene.at_rest()
@@ -394,6 +394,6 @@
         wait_in_line(scene, order, name, group, begun)
     for _ in range(3):
         scene.__dict__["places"].append(object())
-        scene.wait_queues.wake(SERVICE)
+        scene.wait_queues.grant_places(SERVICE)
         eventlet.sleep(0)
     assert order == ["other", "begun", "new"]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -347,8 +347,8 @@
     scene.call.seconds_left, scene.call.deadline, scene.call.arrived = lambda: 10.0, 1000.0, scene.at
     scene.peers.wait_queues = SimpleNamespace(
         charge=lambda call: None,
-        busy=lambda service: False,
-        expected_seconds=lambda service: 0.0,
+        has_waiters=lambda service: False,
+        expected_wait=lambda service: 0.0,
         wait=lambda *_, **options: None,
     )
     with pytest.raises((NoRoute, Overloaded)):
--- a/tests/test_wait_queues.py
+++ b/tests/test_wait_queues.py
@@ -13,7 +13,7 @@
 from bayglade.ids import RequestId, ServiceName
 from bayglade.presence import CallerLeft
 from bayglade.usage import Usage
-from bayglade.wait_queues import MAX_ASIDE, WaitQueues
+from bayglade.wait_queues import MAX_SKIPPED, WaitQueues
 
 SERVICE = ServiceName("model")
 LONG = 5.0
@@ -67,7 +67,7 @@
 
     def end(self, places: int = 1) -> None:
         self.free += [Place() for _ in range(places)]
-        self.wait_queues.note_end(SERVICE)
+        self.wait_queues.note_completion(SERVICE)
         eventlet.sleep(0)
 
 
@@ -75,7 +75,7 @@
     scene = Scene()
     tasks = [scene.enter(name) for name in "abc"]
     for _ in range(3):
-        scene.wait_queues.wake(SERVICE)
+        scene.wait_queues.grant_places(SERVICE)
         eventlet.sleep(0)
     assert scene.served == []
     scene.end()
@@ -89,7 +89,7 @@
     scene = Scene()
     scene.enter("usual")
     scene.enter("urgent", priority=1)
-    scene.wait_queues.wake(SERVICE)
+    scene.wait_queues.grant_places(SERVICE)
     scene.end()
     assert scene.served == ["urgent"]
 
@@ -97,9 +97,9 @@
 def test_one_that_may_go_to_some_servers_only_holds_nobody_back() -> None:
     scene = Scene()
     scene.enter("a", choosy=True)
-    assert not scene.wait_queues.busy(SERVICE)
+    assert not scene.wait_queues.has_waiters(SERVICE)
     scene.enter("b")
-    assert scene.wait_queues.busy(SERVICE)
+    assert scene.wait_queues.has_waiters(SERVICE)
     scene.enter("c")
     scene.end()
     assert scene.served == ["b"]
@@ -111,15 +111,15 @@
     scene = Scene()
     for number in range(100):
         scene.enter(f"c{number}", choosy=True)
-    scene.wait_queues.wake(SERVICE)
-    assert scene.sought == MAX_ASIDE + 1
+    scene.wait_queues.grant_places(SERVICE)
+    assert scene.sought == MAX_SKIPPED + 1
     assert scene.wait_queues.waiting() == 100
 
 
 def test_waiting_ends_without_a_place_in_time() -> None:
     scene = Scene()
     assert scene.enter("a", 0.01).wait() is None
-    assert not scene.wait_queues.busy(SERVICE)
+    assert not scene.wait_queues.has_waiters(SERVICE)
     scene.end()
     assert len(scene.free) == 1
 
@@ -139,7 +139,7 @@
     place = Place()
     scene.free.append(place)
     # Granted, but its task has not run yet when the caller leaves.
-    scene.wait_queues.wake(SERVICE)
+    scene.wait_queues.grant_places(SERVICE)
     scene.free.append(Place())
     eventlet.kill(first, CallerLeft())
     eventlet.sleep(0)
@@ -151,11 +151,11 @@
     scene = Scene()
     at = now()
     monkeypatch.setattr(queues_module, "now", lambda: at)
-    assert scene.wait_queues.expected_seconds(SERVICE) == 0.0
+    assert scene.wait_queues.expected_wait(SERVICE) == 0.0
     for _ in range(100):
         at += 0.1
-        scene.wait_queues.note_end(SERVICE)
+        scene.wait_queues.note_completion(SERVICE)
     rng = random.Random(1)
     for number in range(20):
         scene.enter(f"r{number}", 4 * LONG + rng.random())
-    assert scene.wait_queues.expected_seconds(SERVICE) == pytest.approx(2.0, rel=0.2)
+    assert scene.wait_queues.expected_wait(SERVICE) == pytest.approx(2.0, rel=0.2)
