--- a/bayglade/completions.py
+++ b/bayglade/completions.py
@@ -11,7 +11,7 @@
 
 import eventlet
 
-from bayglade.admission import Admission, Kind
+from bayglade.admission import Admission, ModelVersion
 from bayglade.clock import now
 from bayglade.engines import Engines
 from bayglade.engines import wire as engine_wire
@@ -29,7 +29,7 @@
 from bayglade.logs import event
 from bayglade.metrics import Metrics
 from bayglade.models import Completion, EndReason, Route
-from bayglade.retries import RetryBudget, retry_pause, spread_retry_after
+from bayglade.retries import RetryBudget, jittered_retry_after, retry_delay
 from bayglade.trust import Trust
 
 FIRST_GAP_TIMEOUT = 4.0
@@ -90,9 +90,9 @@
         :return: tokens.
         :raises BaygladeError: when the answer cannot be made whole.
         """
-        self._budget(request).request()
+        self._budget(request).note_request()
         began = now()
-        answer.route = self.admission.enter(request)
+        answer.route = self.admission.acquire_route(request)
         avoid: frozenset[BackendId] = frozenset()
         self.metrics.time("admission.wait", now() - began)
         event("DEBUG", "granted", request=request.id, group=request.group, wait=round(now() - began, 4))
@@ -111,12 +111,12 @@
                 f"{MAX_ATTEMPTS} attempts failed",
                 step="retry",
                 outcome=answer.outcome(),
-                retry_after=spread_retry_after(1.0, self.rng),
+                retry_after=jittered_retry_after(1.0, self.rng),
             )
         finally:
             self._correct_charge(request, len(answer.committed))
             if answer.route is not None:
-                self.admission.leave(answer.route)
+                self.admission.release_route(answer.route)
 
     def _attempt(self, request: Completion, answer: Answer, attempt: AttemptNumber) -> Iterator[str]:
         route = answer.route
@@ -190,7 +190,7 @@
         if not tokens:
             return
         speed = self.admission.speed((request.model, request.version))
-        speed.learn(seconds / tokens)
+        speed.update(seconds / tokens)
         layers = {stage.backend: stage.last - stage.first for stage in route.stages}
         self.admission.backends.learn(layers, seconds / tokens)
 
@@ -198,7 +198,7 @@
         unused = request.max_tokens - tokens
         self.admission.usage.charge(request.group, -unused)
         speed = self.admission.speed((request.model, request.version))
-        speed.served.add(request.cost - unused, now())
+        speed.tokens_served.add(request.cost - unused, now())
 
     def _gap_timeout(self, request: Completion) -> float:
         speed = self.admission.speed((request.model, request.version))
@@ -228,13 +228,13 @@
         event("WARNING", "attempt failed", request=request.id, attempt=attempt, error=repr(error))
         if not request.repeatable and answer.ran:
             raise error
-        if not self._budget(request).retry():
+        if not self._budget(request).acquire():
             raise RetryBudgetSpent(
                 "the budget for retries is spent",
                 step="retry",
                 peer=error.peer,
                 outcome=answer.outcome(),
-                retry_after=spread_retry_after(1.0, self.rng),
+                retry_after=jittered_retry_after(1.0, self.rng),
             )
         return avoid | guilty
 
@@ -268,10 +268,10 @@
         """Move to another route; what was begun goes before what waits."""
         old, answer.route = answer.route, None
         assert old is not None
-        self.admission.leave(old)
+        self.admission.release_route(old)
         if not self._others_cover((request.model, request.version), avoid):
             # Only servers that failed are left: give them a moment.
-            eventlet.sleep(min(retry_pause(attempt, self.rng), max(0.0, request.seconds_left())))
+            eventlet.sleep(min(retry_delay(attempt, self.rng), max(0.0, request.seconds_left())))
         until = now() + min(ROOM_WAIT, request.seconds_left())
         while answer.route is None:
             if not answer.ran:
@@ -290,7 +290,7 @@
             return self.admission.take_route(kind, avoid)
         return self.admission.take_route(kind)
 
-    def _others_cover(self, kind: Kind, avoid: frozenset[BackendId]) -> bool:
+    def _others_cover(self, kind: ModelVersion, avoid: frozenset[BackendId]) -> bool:
         try:
             self.admission.check_coverage(kind, avoid)
         except NoRoute:
@@ -302,7 +302,7 @@
             f"no other route of {model} has room",
             step="retry",
             outcome=answer.outcome(),
-            retry_after=spread_retry_after(1.0, self.rng),
+            retry_after=jittered_retry_after(1.0, self.rng),
         )
 
     def _budget(self, request: Completion) -> RetryBudget:
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -302,7 +302,7 @@
             self.membership.watch()
             self._mark_leaving()
             self.router.divide(len(self.membership.live()) + 1)
-            self.router.admission.fail_uncovered()
+            self.router.admission.reject_uncovered()
             self.router.admission.dispatch_all()
 
 
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -44,7 +44,7 @@
 from bayglade.quarantine import Quarantine
 from bayglade.relay import Peers
 from bayglade.responses import JSON_TYPE
-from bayglade.retries import spread_retry_after
+from bayglade.retries import jittered_retry_after
 from bayglade.rows import Changes
 from bayglade.settings import CallerLimits
 from bayglade.streams import relay_stream
@@ -289,7 +289,7 @@
         if not self.draining or now() - self.draining_since < ACCEPT_SECONDS:
             return
         if call.deadline > self._ends_at():
-            again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+            again = jittered_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
             raise Stopping("this daemon stops", step="intake", retry_after=again)
 
     def _ends_at(self) -> float:
--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -16,7 +16,7 @@
 from bayglade.ids import Digest, GroupPath, Revision, ServiceName
 from bayglade.logs import event
 from bayglade.pipelines import Pipeline
-from bayglade.retries import spread_retry_after
+from bayglade.retries import jittered_retry_after
 from bayglade.revisions import EMPTY, Current
 from bayglade.settings import CallerLimits, Tree, digest_of, level_at, priority_of
 
@@ -207,5 +207,5 @@
         return priority_of(self.tree, group)
 
     def _cut_off(self, message: str) -> BaygladeError:
-        again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+        again = jittered_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
         return CutOff(message, step="intake", retry_after=again)
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -75,7 +75,7 @@
         if service not in self.lent:
             self.lent[service] = RetryBudget(0.0, self.floor, self.window + LOAN_SECONDS)
         budget = self.lent[service]
-        return sum(budget.retry() for _ in range(wanted))
+        return sum(budget.acquire() for _ in range(wanted))
 
     def heard_borrow(self, member: MemberId, message: Borrow) -> None:
         """Answer a daemon that wants to borrow."""
@@ -95,7 +95,7 @@
         if not amount and (readers := self.readers()):
             amount = self._ask(readers, service)
         if amount:
-            budget.borrowed(amount, now() + LOAN_SECONDS)
+            budget.add_loan(amount, now() + LOAN_SECONDS)
 
     def _ask(self, readers: Sequence[MemberId], service: str) -> int:
         reader = readers[self.questions.numbers % len(readers)]
--- a/bayglade/quarantine.py
+++ b/bayglade/quarantine.py
@@ -23,7 +23,7 @@
 from bayglade.fingerprints import fingerprint_of
 from bayglade.ids import BackendId, Fingerprint, ServerKey
 from bayglade.logs import event, limited
-from bayglade.retries import spread_retry_after
+from bayglade.retries import jittered_retry_after
 
 FRESH_SECONDS = 1.0
 """A request whose first event is older when its server ends did not end it: those that do end servers
@@ -156,7 +156,7 @@
         raise RequestStopped(
             f"{len(evidence.ends)} servers ended when they ran this request ({name})",
             step="quarantine",
-            retry_after=spread_retry_after(left, self.rng),
+            retry_after=jittered_retry_after(left, self.rng),
         )
 
     def suspects(self, call: Call) -> bool:
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -32,7 +32,7 @@
 from bayglade.metrics import Metrics
 from bayglade.paths import PathSelector
 from bayglade.quarantine import Quarantine
-from bayglade.retries import RetryBudget, spread_retry_after
+from bayglade.retries import RetryBudget, jittered_retry_after
 from bayglade.servers import Server
 from bayglade.stall_timeouts import StallTimeouts
 from bayglade.upstream import Links
@@ -145,11 +145,11 @@
         if not self.open(begun) or self.held(peers):
             return False
         budget = peers.budget(self.call.service)
-        if self.sent == 0 or budget.retry():
+        if self.sent == 0 or budget.acquire():
             return True
         if Mechanism.LENDING not in peers.without:
             peers.borrow(self.call.service, budget)
-            if budget.retry():
+            if budget.acquire():
                 return not self.held(peers)
         self.tell_spent(peers)
         return False
@@ -178,9 +178,9 @@
     def has_budget(self, peers: Peers) -> bool:
         """Tell whether the budget has a repeat left, without taking it."""
         budget = peers.budget(self.call.service)
-        if not budget.left() and Mechanism.LENDING not in peers.without:
+        if not budget.available() and Mechanism.LENDING not in peers.without:
             peers.borrow(self.call.service, budget)
-        return budget.left()
+        return budget.available()
 
     def only(self) -> frozenset[BackendId] | None:
         """Return the servers to which the call may still go; nothing when any may be new.
@@ -224,9 +224,9 @@
         if self.stopped is not None:
             return self.stopped
         if isinstance(self.failure, BackendRefused) or self.full_for is not None:
-            again = spread_retry_after(max(FULL_SECONDS, self.full_for or 0.0), rng)
+            again = jittered_retry_after(max(FULL_SECONDS, self.full_for or 0.0), rng)
             return Overloaded("the servers are full", step="relay", retry_after=again)
-        again = spread_retry_after(NO_ROUTE_SECONDS, rng)
+        again = jittered_retry_after(NO_ROUTE_SECONDS, rng)
         return NoRoute("no server can run this now", step="relay", retry_after=again)
 
     def outcome(self) -> Outcome:
--- a/bayglade/retries.py
+++ b/bayglade/retries.py
@@ -8,8 +8,8 @@
 BUDGET_WINDOW = 10.0
 BUDGET_FRACTION = 0.1
 BUDGET_FLOOR = 10.0
-SPREAD = 0.5
-FIRST_PAUSE = 0.1
+JITTER = 0.5
+BASE_DELAY = 0.1
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 60.0
 
@@ -25,7 +25,7 @@
     :param window: seconds over which both are counted.
     """
 
-    __slots__ = ("floor", "fraction", "loan", "loan_until", "requests", "retries", "window")
+    __slots__ = ("floor", "fraction", "loan", "loan_expires", "requests", "retries", "window")
 
     def __init__(
         self,
@@ -41,67 +41,67 @@
         self.loan = 0
         """Retries that another daemon lent; they count there."""
 
-        self.loan_until = 0.0
+        self.loan_expires = 0.0
 
     def __repr__(self) -> str:
         return f"<RetryBudget {len(self.retries)} of {self.requests.value:.1f}>"
 
-    def request(self) -> None:
+    def note_request(self) -> None:
         """Count a first try."""
         self.requests.add(1.0, now())
 
-    def retry(self) -> bool:
+    def acquire(self) -> bool:
         """Take one retry from the budget.
 
         :return: false when the budget is spent.
         """
         at = now()
-        if not self._own_left(at):
+        if not self._own_available(at):
             return self._use_loan(at)
         self.retries.append(at)
         return True
 
-    def left(self) -> bool:
+    def available(self) -> bool:
         """Tell whether a retry could be taken now."""
         at = now()
-        return self._own_left(at) or self._loan_left(at)
+        return self._own_available(at) or self._loan_available(at)
 
-    def _own_left(self, at: float) -> bool:
+    def _own_available(self, at: float) -> bool:
         while self.retries and self.retries[0] <= at - self.window:
             self.retries.popleft()
         return len(self.retries) + 1.0 <= self.floor + self.fraction * self.requests.read(at)
 
-    def _loan_left(self, at: float) -> bool:
-        return self.loan > 0 and at < self.loan_until
+    def _loan_available(self, at: float) -> bool:
+        return self.loan > 0 and at < self.loan_expires
 
-    def borrowed(self, amount: int, until: float) -> None:
+    def add_loan(self, amount: int, until: float) -> None:
         """Take in a loan; what was left of an earlier one that still holds is kept.
 
         :param amount: how many retries.
         :param until: when the loan ends, in monotonic seconds.
         """
-        left = self.loan if now() < self.loan_until else 0
+        left = self.loan if now() < self.loan_expires else 0
         self.loan = left + amount
-        self.loan_until = min(until, self.loan_until) if left else until
+        self.loan_expires = min(until, self.loan_expires) if left else until
 
     def _use_loan(self, at: float) -> bool:
-        if not self._loan_left(at):
+        if not self._loan_available(at):
             return False
         self.loan -= 1
         return True
 
 
-def retry_pause(attempt: int, rng: random.Random) -> float:
+def retry_delay(attempt: int, rng: random.Random) -> float:
     """Return how long to wait before servers that failed are tried again.
 
     :param attempt: how many attempts have failed.
     :param rng: source of the spread.
     :return: seconds, doubling with each attempt, spread by half.
     """
-    return FIRST_PAUSE * 2.0 ** (attempt - 1) * (1.0 - SPREAD * rng.random())
+    return BASE_DELAY * 2.0 ** (attempt - 1) * (1.0 - JITTER * rng.random())
 
 
-def spread_retry_after(seconds: float, rng: random.Random, least: float = MIN_RETRY_AFTER) -> float:
+def jittered_retry_after(seconds: float, rng: random.Random, minimum: float = MIN_RETRY_AFTER) -> float:
     """Spread the moments at which refused callers come back.
 
     :param seconds: when coming back would help at the earliest.
@@ -109,5 +109,5 @@
     :param least: lower bound; small where another daemon can answer at once.
     :return: seconds, between the earliest and half as much again, within bounds.
     """
-    base = min(max(seconds, least), MAX_RETRY_AFTER)
-    return base * (1.0 + SPREAD * rng.random())
+    base = min(max(seconds, minimum), MAX_RETRY_AFTER)
+    return base * (1.0 + JITTER * rng.random())
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -24,7 +24,7 @@
 from bayglade.logs import event
 from bayglade.metrics import Metrics
 from bayglade.models import Completion, Request, ServiceRequest
-from bayglade.retries import RetryBudget, spread_retry_after
+from bayglade.retries import RetryBudget, jittered_retry_after
 from bayglade.services import Services
 from bayglade.services.wire import ServiceAnswer
 from bayglade.settings import ROOT, Service, Tree
@@ -148,11 +148,11 @@
 
     def _call_one_of(self, request: ServiceRequest, service: Service) -> ServiceAnswer:
         budget = self.service_budgets.setdefault(request.group, RetryBudget())
-        budget.request()
+        budget.note_request()
         last: BackendError | None = None
         ran = False
         for backend in self._ordered(service):
-            if last is not None and not budget.retry():
+            if last is not None and not budget.acquire():
                 break
             if request.seconds_left() <= 0:
                 raise self._too_late(last, ran)
@@ -169,7 +169,7 @@
             raise NoRoute(
                 f"no server of {request.service} is live",
                 step="route",
-                retry_after=spread_retry_after(2.0, self.rng),
+                retry_after=jittered_retry_after(2.0, self.rng),
             )
         if ran:
             last.outcome = Outcome.UNKNOWN
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -113,7 +113,7 @@
     """
     attempts = Attempts(call)
     delivery = Delivery(connection, call.head.last_event)
-    peers.budget(call.service).request()
+    peers.budget(call.service).note_request()
     peers.wait_queues.charge(call)
     avoided: frozenset[BackendId] = frozenset()
     while attempts.open(_endures(peers, delivery)):
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -53,7 +53,7 @@
     :raises BaygladeError: when there is no answer to pass on; nothing was sent to the caller.
     """
     attempts = Attempts(call)
-    peers.budget(call.service).request()
+    peers.budget(call.service).note_request()
     answer: Answer | None = None
     while attempts.may_send(peers):
         place = _find_place(peers, call, attempts)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -192,12 +192,12 @@
 def test_a_retry_budget_is_a_floor_and_a_tenth_of_the_traffic():
     budget = retries.RetryBudget()
     for _ in range(200):
-        budget.request()
-    allowed = sum(budget.retry() for _ in range(200))
+        budget.note_request()
+    allowed = sum(budget.acquire() for _ in range(200))
     assert allowed == pytest.approx(retries.BUDGET_FLOOR + 20, abs=1)
 
 
 def test_callers_that_were_refused_do_not_come_back_together():
     rng = random.Random(1)
-    moments = {round(retries.spread_retry_after(2.0, rng), 3) for _ in range(100)}
+    moments = {round(retries.jittered_retry_after(2.0, rng), 3) for _ in range(100)}
     assert len(moments) > 90 and min(moments) >= 2.0 and max(moments) <= 3.0
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -58,12 +58,12 @@
 
 def test_a_loan_is_used_after_the_own_budget_and_ends(clock: ManualClock) -> None:
     budget = RetryBudget(0.0, 1.0, WINDOW)
-    assert budget.retry()
-    assert not budget.retry()
-    budget.borrowed(2, clock.at + LOAN_SECONDS)
-    assert budget.retry()
+    assert budget.acquire()
+    assert not budget.acquire()
+    budget.add_loan(2, clock.at + LOAN_SECONDS)
+    assert budget.acquire()
     clock.at += LOAN_SECONDS
-    assert not budget.retry()
+    assert not budget.acquire()
 
 
 def test_an_answer_that_nobody_waits_for_is_passed_over(clock: ManualClock) -> None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -30,7 +30,7 @@
         taken = []
         for pause in pauses:
             time.at += pause
-            if budget.retry():
+            if budget.acquire():
                 taken.append(time.at)
     for start in taken:
         assert sum(1 for at in taken if start <= at < start + WINDOW) <= 8
@@ -38,7 +38,7 @@
 
 def test_requests_bring_retries_with_them() -> None:
     budget = RetryBudget(fraction=0.5, floor=1.0, window=WINDOW)
-    assert [budget.retry() for _ in range(2)] == [True, False]
+    assert [budget.acquire() for _ in range(2)] == [True, False]
     for _ in range(10):
-        budget.request()
-    assert [budget.retry() for _ in range(6)].count(True) >= 4
+        budget.note_request()
+    assert [budget.acquire() for _ in range(6)].count(True) >= 4
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -74,9 +74,9 @@
 
 def test_retries_of_before_it_no_longer_count(suspend: Suspend) -> None:
     budget = RetryBudget(fraction=0.0, floor=2.0, window=10.0)
-    assert [budget.retry() for _ in range(3)] == [True, True, False]
+    assert [budget.acquire() for _ in range(3)] == [True, True, False]
     suspend(10.0)
-    assert budget.retry()
+    assert budget.acquire()
 
 
 def test_it_is_told_once(suspend: Suspend) -> None:
