--- a/bayglade/ends.py
+++ b/bayglade/ends.py
@@ -7,10 +7,10 @@
 from bayglade.ids import BackendId
 from bayglade.quarantine import Quarantine
 from bayglade.servers import Server
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 
 
-def watch_ends(fleet: Fleet, links: Links, diagnosis: Diagnosis, quarantine: Quarantine) -> None:
+def watch_ends(fleet: Fleet, links: ConnectionPool, diagnosis: Diagnosis, quarantine: Quarantine) -> None:
     """Have the quarantine told of servers that ended, and of those that answer.
 
     :param fleet: tells of later starts, and of servers that are no longer listed.
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -48,7 +48,7 @@
 from bayglade.rows import Changes
 from bayglade.settings import CallerLimits
 from bayglade.streams import relay_stream
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
 from bayglade.wholes import relay_whole
@@ -95,13 +95,13 @@
         self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
         rows = GuardedTable(self.store, self.history)
         self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN)
-        self.links = Links()
-        self.fleet.on_restart.append(self.links.drop)
+        self.links = ConnectionPool()
+        self.fleet.on_restart.append(self.links.close_idle)
         self.control = platform.Engines(self.links)
         self.diagnosis = Diagnosis(self.fleet, self.control, self.rng)
-        self.diagnosis.rests = self.links.rests
-        self.diagnosis.drop = self.links.drop
-        self.diagnosis.distrust = self.links.distrust
+        self.diagnosis.rests = self.links.has_idle
+        self.diagnosis.drop = self.links.close_idle
+        self.diagnosis.distrust = self.links.distrust_before
         self.diagnosis.by_turns = Mechanism.TURNS not in config.without
         self.document_feed = Feed(
             self.store,
@@ -143,7 +143,7 @@
             rng=self.rng,
             without=config.without,
         )
-        self.peers.paths.has_idle_connection = self.links.rests
+        self.peers.paths.has_idle_connection = self.links.has_idle
         self.loader = Loader(
             self.fleet,
             self.control,
@@ -342,7 +342,7 @@
             eventlet.sleep(TIDY_SECONDS)
             if (seconds := suspensions.lately()) > 0:
                 event("WARNING", "host was suspended", seconds=round(seconds, 2))
-            self.links.forget(set(self.fleet.servers))
+            self.links.prune(set(self.fleet.servers))
             self.quarantine.tidy()
             self._gauge()
             self.listing.tell_behind(self.document_feed.age())
--- a/bayglade/platform/engines.py
+++ b/bayglade/platform/engines.py
@@ -19,7 +19,7 @@
     decode_strictly,
     incarnation_of,
 )
-from bayglade.upstream import IDLE_SECONDS, Links, open_exchange
+from bayglade.upstream import DEFAULT_IDLE_SECONDS, ConnectionPool, open_exchange
 
 REPORT_PATH = "/api/report"
 ORDER_PATH = "/api/order"
@@ -118,7 +118,7 @@
 class Engines:
     """The replicas as reached over the daemon's connections."""
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, links: ConnectionPool) -> None:
         self.links = links
 
     def __repr__(self) -> str:
@@ -177,15 +177,15 @@
             headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         pieces = []
         try:
-            max_idle = 0.0 if anew else IDLE_SECONDS
+            max_idle = 0.0 if anew else DEFAULT_IDLE_SECONDS
             exchange = open_exchange(self.links, backend, address, max_idle, timeout)
         except BackendError as error:
             event("INFO", "server not reached", peer=backend, path=path, error=repr(error))
             return Reply()
         try:
             exchange.send(write_head(f"{method} {path} HTTP/1.1", headers) + body, until)
-            answer = exchange.head(until, lambda message: True)
-            while (piece := exchange.piece(until)) is not None:
+            answer = exchange.read_head(until, lambda message: True)
+            while (piece := exchange.read_piece(until)) is not None:
                 pieces.append(piece)
         except BackendError as error:
             event("INFO", "server did not answer", peer=backend, path=path, error=repr(error))
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -35,7 +35,7 @@
 from bayglade.retries import RetryBudget, jittered_retry_after
 from bayglade.servers import Server
 from bayglade.stall_timeouts import StallTimeouts
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 from bayglade.wait_queues import WaitQueues
 
 MAX_UNREACHED = 4
@@ -56,7 +56,7 @@
         self,
         fleet: Fleet,
         paths: PathSelector,
-        links: Links,
+        links: ConnectionPool,
         dialect: Dialect,
         control: Control,
         diagnosis: Diagnosis,
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -245,7 +245,7 @@
     if dead:
         blame(peers, call, run, next(s for s in run.path.servers if s.facts.id in dead))
     if not dead and connection_silent(peers, call, run):
-        peers.links.distrust(run.event_at)
+        peers.links.distrust_before(run.event_at)
         if _can_resend(peers, call, pipeline, run):
             raise BackendError("the connection is silent", step="stream", peer=run.exchange.backend)
     if not dead and Mechanism.LEAVE_SLOW in peers.without:
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -13,7 +13,7 @@
 from bayglade.places import Place
 from bayglade.relay import Peers
 from bayglade.servers import Server
-from bayglade.upstream import FRESH_SECONDS, IDLE_SECONDS, Exchange, open_exchange
+from bayglade.upstream import DEFAULT_IDLE_SECONDS, MAX_IDLE_AT_MOST_ONCE, Exchange, open_exchange
 
 
 def send(
@@ -41,7 +41,7 @@
     facts = server.facts
     check_sending(peers, call, server)
     peers.quarantine.sent(call, facts.id)
-    max_idle = FRESH_SECONDS if call.once else IDLE_SECONDS
+    max_idle = MAX_IDLE_AT_MOST_ONCE if call.once else DEFAULT_IDLE_SECONDS
     exchange = open_exchange(peers.links, facts.id, facts.address, max_idle)
     try:
         sending = Sending(
@@ -59,7 +59,7 @@
         _keep_limits(place or path or Place((server,)))
         exchange.send(write_head(start, headers) + call.body, call.deadline)
     except BaseException:
-        exchange.link.sock.close()
+        exchange.connection.sock.close()
         raise
     event(
         "INFO",
@@ -115,7 +115,7 @@
         request = peers.dialect.read_answer(message).request
         return request is None or request == call.head.id
 
-    message = exchange.head(until, own)
+    message = exchange.read_head(until, own)
     head = peers.dialect.read_answer(message)
     misdirected = head.instance is not None and head.instance != exchange.backend
     if not misdirected:
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -370,7 +370,7 @@
 def _pass_on(call: Call, exchange: Exchange, message: Message, delivery: Delivery) -> None:
     """Pass on a failure that the server vouches for, as a whole answer."""
     pieces = []
-    while (piece := exchange.piece(call.deadline)) is not None:
+    while (piece := exchange.read_piece(call.deadline)) is not None:
         pieces.append(piece)
     if delivery.begun:
         raise BackendError("a stream cannot go on: the server failed", step="stream", peer=exchange.backend)
@@ -388,7 +388,7 @@
         else:
             patience = peers.stall_timeouts.first(call.endpoint.aim)
         try:
-            piece = run.exchange.piece(_glance_until(call, since, patience))
+            piece = run.exchange.read_piece(_glance_until(call, since, patience))
         except BackendSilent:
             if run.on_dead_stage() or _waited(call, since, patience):
                 look_into(peers, call, pipeline, run, patience)
--- a/bayglade/upstream.py
+++ b/bayglade/upstream.py
@@ -16,18 +16,18 @@
 """A connect takes about two milliseconds on the users' links; a lost packet adds 0.2 s or more."""
 USER_TIMEOUT_MS = 2000
 """After this time without an acknowledgement the kernel gives a connection up."""
-IDLE_SECONDS = 20.0
+DEFAULT_IDLE_SECONDS = 20.0
 """How long a connection is kept where the server does not say."""
 IDLE_MARGIN = 0.5
 """Seconds before the server's own end of an idle connection at which it is no longer used."""
-FRESH_SECONDS = 1.0
+MAX_IDLE_AT_MOST_ONCE = 1.0
 """A call that must not be repeated takes only a connection used this lately: one that was
 closed in the meantime would leave it open whether the call ran."""
-MAX_STRAYS = 2
+MAX_STALE_ANSWERS = 2
 """Answers to earlier calls that are read away before the own one."""
 
 
-class Link:
+class PooledConnection:
     """One connection to a backend server; times are monotonic seconds."""
 
     __slots__ = ("expires_at", "reader", "sock", "used_at")
@@ -36,21 +36,21 @@
         self.sock = sock
         self.reader = Reader(True)
         self.used_at = now()
-        self.expires_at = self.used_at + IDLE_SECONDS
+        self.expires_at = self.used_at + DEFAULT_IDLE_SECONDS
 
     def __repr__(self) -> str:
-        return f"<Link idle={now() - self.used_at:.1f}>"
+        return f"<PooledConnection idle={now() - self.used_at:.1f}>"
 
-    def quiet(self) -> bool:
+    def is_clean(self) -> bool:
         """Tell whether nothing came in while it rested: neither its end nor stray bytes."""
         return at_rest(self.sock)
 
 
-class Links:
+class ConnectionPool:
     """Connections at rest, by backend server."""
 
     def __init__(self) -> None:
-        self.idle: dict[BackendId, deque[Link]] = {}
+        self.idle: dict[BackendId, deque[PooledConnection]] = {}
         self.opened = 0
         self.on_refused: Callable[[BackendId, str], None] = lambda backend, address: None
         """Told of each server that nobody listens for at its address."""
@@ -59,20 +59,20 @@
         """Connections that were used last before this time are not used again."""
 
     def __repr__(self) -> str:
-        return f"<Links {sum(len(links) for links in self.idle.values())} idle>"
+        return f"<ConnectionPool {sum(len(kept) for kept in self.idle.values())} idle>"
 
-    def rests(self, backend: BackendId) -> bool:
+    def has_idle(self, backend: BackendId) -> bool:
         """Tell whether a connection to a server rests that may be used."""
-        links = self.idle.get(backend)
-        return links is not None and len(links) > 0 and self._usable(links[-1])
+        connections = self.idle.get(backend)
+        return connections is not None and len(connections) > 0 and self._usable(connections[-1])
 
-    def take(
+    def acquire(
         self,
         backend: BackendId,
         address: str,
-        max_idle: float = IDLE_SECONDS,
+        max_idle: float = DEFAULT_IDLE_SECONDS,
         connect_seconds: float = CONNECT_SECONDS,
-    ) -> Link:
+    ) -> PooledConnection:
         """Take a connection that rests, or open one.
 
         :param backend: the server.
@@ -82,12 +82,12 @@
         :return: the connection.
         :raises BackendUnreachable: when none can be opened.
         """
-        links = self.idle.get(backend)
-        while links and max_idle > 0:
-            link = links.pop()
-            if self._usable(link) and now() - link.used_at < max_idle and link.quiet():
-                return link
-            link.sock.close()
+        connections = self.idle.get(backend)
+        while connections and max_idle > 0:
+            connection = connections.pop()
+            if self._usable(connection) and now() - connection.used_at < max_idle and connection.is_clean():
+                return connection
+            connection.sock.close()
         return self._open(backend, address, connect_seconds)
 
     def probe(self, backend: BackendId, address: str) -> bool:
@@ -98,26 +98,26 @@
         :return: whether somebody does.
         """
         try:
-            link = self._open(backend, address, CONNECT_SECONDS)
+            connection = self._open(backend, address, CONNECT_SECONDS)
         except BackendUnreachable as error:
             event("INFO", "server not reached", peer=backend, error=repr(error))
             return False
-        self.give_back(backend, link, None)
+        self.release(backend, connection, None)
         return True
 
-    def give_back(self, backend: BackendId, link: Link, keep_seconds: float | None) -> None:
+    def release(self, backend: BackendId, connection: PooledConnection, keep_seconds: float | None) -> None:
         """Let a connection rest after a whole answer.
 
         :param backend: the server.
         :param link: the connection.
         :param keep_seconds: how long the server keeps it, if it said so.
         """
-        link.used_at = now()
-        seconds = IDLE_SECONDS if keep_seconds is None else keep_seconds - IDLE_MARGIN
-        link.expires_at = link.used_at + seconds
-        self.idle.setdefault(backend, deque()).append(link)
+        connection.used_at = now()
+        seconds = DEFAULT_IDLE_SECONDS if keep_seconds is None else keep_seconds - IDLE_MARGIN
+        connection.expires_at = connection.used_at + seconds
+        self.idle.setdefault(backend, deque()).append(connection)
 
-    def distrust(self, before: float) -> None:
+    def distrust_before(self, before: float) -> None:
         """Use no connection any more that rests since before a time: another one fell silent then.
 
         What makes one silent without an end, a middlebox that forgot them, say, hits others as well.
@@ -127,32 +127,32 @@
         """
         self.trusted_from = max(self.trusted_from, before)
 
-    def _usable(self, link: Link) -> bool:
-        return now() < link.expires_at and link.used_at > self.trusted_from
+    def _usable(self, connection: PooledConnection) -> bool:
+        return now() < connection.expires_at and connection.used_at > self.trusted_from
 
-    def drop(self, backend: BackendId) -> None:
+    def close_idle(self, backend: BackendId) -> None:
         """Close all connections that rest to a server: one of them was silent."""
-        for link in self.idle.pop(backend, ()):
-            link.sock.close()
+        for connection in self.idle.pop(backend, ()):
+            connection.sock.close()
 
-    def forget(self, backends: set[BackendId]) -> None:
+    def prune(self, backends: set[BackendId]) -> None:
         """Close connections that rest to servers that are gone, and those past their time.
 
         :param backends: the servers to keep.
         """
         at = now()
         for backend in list(self.idle):
-            links = self.idle[backend]
-            keep = deque(link for link in links if backend in backends and at < link.expires_at)
-            for link in links:
-                if link not in keep:
-                    link.sock.close()
-            if keep:
-                self.idle[backend] = keep
+            connections = self.idle[backend]
+            kept = deque(c for c in connections if backend in backends and at < c.expires_at)
+            for connection in connections:
+                if connection not in kept:
+                    connection.sock.close()
+            if kept:
+                self.idle[backend] = kept
             else:
                 del self.idle[backend]
 
-    def _open(self, backend: BackendId, address: str, seconds: float) -> Link:
+    def _open(self, backend: BackendId, address: str, seconds: float) -> PooledConnection:
         where = parse_address(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -169,18 +169,18 @@
             sock.close()
             raise
         self.opened += 1
-        return Link(sock)
+        return PooledConnection(sock)
 
 
 class Exchange:
     """One call on a connection: sent, then its answer read piece by piece."""
 
-    __slots__ = ("answer", "backend", "dirty", "link", "links", "sent_at")
+    __slots__ = ("answer", "backend", "connection", "dirty", "pool", "sent_at")
 
-    def __init__(self, links: Links, backend: BackendId, link: Link) -> None:
-        self.links = links
+    def __init__(self, pool: ConnectionPool, backend: BackendId, connection: PooledConnection) -> None:
+        self.pool = pool
         self.backend = backend
-        self.link = link
+        self.connection = connection
         self.answer: Message | None = None
         self.sent_at = 0.0
         """When the request went out, in monotonic seconds."""
@@ -200,12 +200,12 @@
         """
         self.sent_at = now()
         try:
-            self.link.sock.settimeout(max(0.001, until - self.sent_at))
-            self.link.sock.sendall(data)
+            self.connection.sock.settimeout(max(0.001, until - self.sent_at))
+            self.connection.sock.sendall(data)
         except OSError as error:
-            raise self._broken(f"the send broke: {error}") from error
+            raise self._broken_error(f"the send broke: {error}") from error
 
-    def head(self, until: float, own: Callable[[Message], bool]) -> Message:
+    def read_head(self, until: float, is_own: Callable[[Message], bool]) -> Message:
         """Wait for the head of the answer.
 
         :param until: when to give up, in monotonic seconds.
@@ -214,24 +214,24 @@
         :raises BackendSilent: when it did not come in time.
         :raises BackendError: when the connection broke or holds no answer.
         """
-        strays = 0
+        stale = 0
         while True:
-            message = self._first()
-            if message is not None and (message.status < 200 or not own(message)):
+            message = self._current_answer()
+            if message is not None and (message.status < 200 or not is_own(message)):
                 # An interim answer, or one to an earlier call: read it away.
-                strays += message.status >= 200
-                if strays > MAX_STRAYS or message.ends_with_connection:
-                    raise self._broken("an answer to another call")
-                self._read_away(message, until)
+                stale += message.status >= 200
+                if stale > MAX_STALE_ANSWERS or message.ends_with_connection:
+                    raise self._broken_error("an answer to another call")
+                self._discard(message, until)
                 continue
             if message is not None:
                 self.answer = message
-                self.dirty = strays > 0
+                self.dirty = stale > 0
                 return message
             if not self.receive(until):
-                raise self._broken("the connection ended before an answer")
+                raise self._broken_error("the connection ended before an answer")
 
-    def piece(self, until: float) -> bytes | None:
+    def read_piece(self, until: float) -> bytes | None:
         """Wait for the next piece of the body.
 
         :param until: when to give up, in monotonic seconds.
@@ -250,7 +250,7 @@
                 return None
             if not self.receive(until):
                 if not answer.ends_with_connection:
-                    raise self._broken("the answer was cut")
+                    raise self._broken_error("the answer was cut")
                 answer.complete = True
                 self.dirty = True
 
@@ -261,54 +261,54 @@
         """
         answer = self.answer
         whole = answer is not None and answer.complete and not answer.pieces
-        clean = whole and not self.dirty and len(self.link.reader.messages) == 1
-        if clean and answer is not None and answer.keep_alive and self.link.quiet():
-            self.link.reader.messages.clear()
-            self.links.give_back(self.backend, self.link, keep_seconds)
+        clean = whole and not self.dirty and len(self.connection.reader.messages) == 1
+        if clean and answer is not None and answer.keep_alive and self.connection.is_clean():
+            self.connection.reader.messages.clear()
+            self.pool.release(self.backend, self.connection, keep_seconds)
         else:
-            self.link.sock.close()
+            self.connection.sock.close()
 
     def receive(self, until: float) -> bool:
         """Read once from the connection; tell whether it goes on."""
         try:
-            data = receive(self.link.sock, until)
+            data = receive(self.connection.sock, until)
         except TimeoutError as error:
-            raise self._silent() from error
+            raise self._timeout_error() from error
         except OSError as error:
-            raise self._broken(f"the connection broke: {error}") from error
+            raise self._broken_error(f"the connection broke: {error}") from error
         if not data:
             return False
         try:
-            self.link.reader.feed(data)
+            self.connection.reader.feed(data)
         except InvalidMessage as error:
             if self.answer is None or not self.answer.complete:
-                raise self._broken(f"no answer in HTTP: {error.message}") from error
+                raise self._broken_error(f"no answer in HTTP: {error.message}") from error
             # What follows a whole answer belongs to no request.
             self.dirty = True
         return True
 
-    def _first(self) -> Message | None:
-        messages = self.link.reader.messages
+    def _current_answer(self) -> Message | None:
+        messages = self.connection.reader.messages
         return messages[0] if messages and messages[0].head_done else None
 
-    def _read_away(self, message: Message, until: float) -> None:
+    def _discard(self, message: Message, until: float) -> None:
         while not message.complete:
             if not self.receive(until):
-                raise self._broken("the connection ended inside an answer to another call")
-        self.link.reader.messages.popleft()
+                raise self._broken_error("the connection ended inside an answer to another call")
+        self.connection.reader.messages.popleft()
 
-    def _silent(self) -> BackendSilent:
+    def _timeout_error(self) -> BackendSilent:
         return BackendSilent("no answer in time", step="receive", peer=self.backend)
 
-    def _broken(self, message: str) -> BackendError:
+    def _broken_error(self, message: str) -> BackendError:
         return BackendError(message, step="receive", peer=self.backend)
 
 
 def open_exchange(
-    links: Links,
+    pool: ConnectionPool,
     backend: BackendId,
     address: str,
-    max_idle: float = IDLE_SECONDS,
+    max_idle: float = DEFAULT_IDLE_SECONDS,
     connect_seconds: float = CONNECT_SECONDS,
 ) -> Exchange:
     """Take a connection for one call.
@@ -321,4 +321,4 @@
     :return: the exchange; nothing is sent yet.
     :raises BackendUnreachable: when the server cannot be reached.
     """
-    return Exchange(links, backend, links.take(backend, address, max_idle, connect_seconds))
+    return Exchange(pool, backend, pool.acquire(backend, address, max_idle, connect_seconds))
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -134,7 +134,7 @@
             until = _patience(peers, call, attempts)
             message, head = answer_head(peers, call, server, exchange, until)
             pieces = []
-            while (piece := exchange.piece(call.deadline)) is not None:
+            while (piece := exchange.read_piece(call.deadline)) is not None:
                 pieces.append(piece)
             keep_seconds = head.keep_seconds
         finally:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -26,7 +26,7 @@
 from bayglade.spreading import Spreading
 from bayglade.tiling import Span
 from bayglade.totals import Totals
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 from tests.server_rows import BORN, facts_of
 from tests.test_diagnosis import ALIVE, Stages
 from tests.test_tiling import SERVICE, pipeline, servers
@@ -266,8 +266,8 @@
 
 def test_connections_to_the_earlier_start_are_closed() -> None:
     fleet = listed()
-    links = Links()
-    fleet.on_restart.append(links.drop)
+    links = ConnectionPool()
+    fleet.on_restart.append(links.close_idle)
     closed: list[str] = []
     resting: Any = SimpleNamespace(sock=SimpleNamespace(close=lambda: closed.append("closed")))
     links.idle[ID] = deque([resting])
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -133,7 +133,7 @@
         self.on_open()
         sock = SimpleNamespace(close=lambda: None)
         return SimpleNamespace(
-            send=lambda data, until: self.sent.append(data), link=SimpleNamespace(sock=sock)
+            send=lambda data, until: self.sent.append(data), connection=SimpleNamespace(sock=sock)
         )
 
 
@@ -192,7 +192,9 @@
 def answered(head: AnswerHead, status: int, fleet: Fleet, server: Server) -> None:
     message = Message()
     message.status = status
-    exchange: Any = SimpleNamespace(backend=server.facts.id, sent_at=0.0, head=lambda until, own: message)
+    exchange: Any = SimpleNamespace(
+        backend=server.facts.id, sent_at=0.0, read_head=lambda until, is_own: message
+    )
     peers: Any = SimpleNamespace(fleet=fleet, dialect=SimpleNamespace(read_answer=lambda message: head))
     answer_head(peers, a_call(2), server, exchange, 0.0)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -19,7 +19,7 @@
 
 from bayglade import upstream
 from bayglade.ids import BackendId
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 
 SERVER, OTHER = BackendId("i-1"), BackendId("i-2")
 
@@ -50,18 +50,18 @@
 ) -> None:
     at = 100.0
     monkeypatch.setattr(upstream, "now", lambda: at)
-    links = Links()
-    old, late = links.take(SERVER, address), links.take(OTHER, address)
-    links.give_back(SERVER, old, None)
+    links = ConnectionPool()
+    old, late = links.acquire(SERVER, address), links.acquire(OTHER, address)
+    links.release(SERVER, old, None)
     at = 102.0
-    links.give_back(OTHER, late, None)
+    links.release(OTHER, late, None)
     # A third one was heard last at 101 s and is found silent only now.
     at = 103.0
-    links.distrust(101.0)
-    assert not links.rests(SERVER)
-    assert links.rests(OTHER)
-    assert links.take(OTHER, address) is late
-    fresh = links.take(SERVER, address)
+    links.distrust_before(101.0)
+    assert not links.has_idle(SERVER)
+    assert links.has_idle(OTHER)
+    assert links.acquire(OTHER, address) is late
+    fresh = links.acquire(SERVER, address)
     assert fresh is not old
     assert links.opened == 3
 
@@ -69,8 +69,8 @@
 def test_what_was_once_distrusted_stays_so(address: str, monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(upstream, "now", lambda: at)
-    links = Links()
-    links.give_back(SERVER, links.take(SERVER, address), None)
-    links.distrust(101.0)
-    links.distrust(99.0)
-    assert not links.rests(SERVER)
+    links = ConnectionPool()
+    links.release(SERVER, links.acquire(SERVER, address), None)
+    links.distrust_before(101.0)
+    links.distrust_before(99.0)
+    assert not links.has_idle(SERVER)
