--- a/bayglade/ends.py
+++ b/bayglade/ends.py
@@ -10,7 +10,7 @@
 from bayglade.upstream import ConnectionPool
 
 
-def watch_ends(fleet: Fleet, links: ConnectionPool, diagnosis: Diagnosis, quarantine: Quarantine) -> None:
+def watch_ends(fleet: Fleet, pool: ConnectionPool, diagnosis: Diagnosis, quarantine: Quarantine) -> None:
     """Have the quarantine told of servers that ended, and of those that answer.
 
     :param fleet: tells of later starts, and of servers that are no longer listed.
@@ -35,7 +35,7 @@
 
     def look(server: Server) -> None:
         # Some servers leave by losing their entry only, and serve on for a while.
-        if not links.probe(server.facts.id, server.facts.address):
+        if not pool.probe(server.facts.id, server.facts.address):
             quarantine.server_ended(server.facts.key)
 
     def answered(server: Server, asked_at: float) -> None:
@@ -44,5 +44,5 @@
 
     fleet.on_ended = quarantine.server_ended
     fleet.on_unlisted = unlisted
-    links.on_refused = refused
+    pool.on_refused = refused
     diagnosis.on_answer = answered
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -42,7 +42,7 @@
 from bayglade.peering import Peering
 from bayglade.presence import CallerLeft, Presence
 from bayglade.quarantine import Quarantine
-from bayglade.relay import Peers
+from bayglade.relay import RelayContext
 from bayglade.responses import JSON_TYPE
 from bayglade.retries import jittered_retry_after
 from bayglade.rows import Changes
@@ -128,14 +128,14 @@
         self.wait_queues = WaitQueues(self.usage, self.intake.share_of)
         self.quarantine = Quarantine(secrets.token_bytes(FINGERPRINT_KEY_BYTES), self.rng)
         watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
-        self.peers = Peers(
+        self.peers = RelayContext(
             fleet=self.fleet,
             paths=PathSelector(self.fleet, config.hall, config.without, self.rng),
-            links=self.links,
+            pool=self.links,
             dialect=dialect,
             control=self.control,
             diagnosis=self.diagnosis,
-            check=self.intake.check,
+            check_authorization=self.intake.check,
             wait_queues=self.wait_queues,
             quarantine=self.quarantine,
             new_budget=lambda: self.peering.new_budget(),
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -34,7 +34,7 @@
 from bayglade.lost_rows import KEEP_SECONDS, recover, stored_members, write_delay
 from bayglade.quotas import Quotas, choose_keeper
 from bayglade.readers import LOST_SECONDS, Duty, Lost, Order, Plan, make_plan, streams_of
-from bayglade.relay import Peers
+from bayglade.relay import RelayContext
 from bayglade.retries import BUDGET_FLOOR, RetryBudget
 from bayglade.roster import MemberRow, Roster, join, mark_gone, read_roster
 from bayglade.rows import Changes, Position, Table, was_restored
@@ -78,7 +78,7 @@
         history: StoreHistory,
         intake: Intake,
         usage: Usage,
-        peers: Peers,
+        peers: RelayContext,
         rng: random.Random,
     ) -> None:
         self.config = config
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -14,7 +14,7 @@
 from bayglade.mechanisms import Mechanism
 from bayglade.pathfinding import Path
 from bayglade.pipelines import Pipeline
-from bayglade.relay import Attempts, Peers
+from bayglade.relay import Attempts, RelayContext
 from bayglade.servers import SLOW_PACE, Server
 from bayglade.upstream import Exchange
 
@@ -157,31 +157,31 @@
         self.look_at = now() + self.look_pause
 
 
-def leave_planned(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> None:
+def leave_planned(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> None:
     """Move a running stream off stages that leave, before they end.
 
     A stream that cannot be moved stays: such a stage serves on for a while. One for which there is no way
     round looks again: left on its stage to the end, all streams there would seek room at the same moment.
     """
-    if run.fleet_seen != peers.fleet.changed:
-        run.fleet_seen = peers.fleet.changed
+    if run.fleet_seen != context.fleet.changed:
+        run.fleet_seen = context.fleet.changed
         if run.leave_at is None and _leaving(run):
-            run.leave_at = now() + peers.rng.uniform(0.0, LEAVE_SPREAD_SECONDS)
-    if run.leave_at is None or now() < run.leave_at or Mechanism.LEAVE_PLANNED in peers.without:
+            run.leave_at = now() + context.rng.uniform(0.0, LEAVE_SPREAD_SECONDS)
+    if run.leave_at is None or now() < run.leave_at or Mechanism.LEAVE_PLANNED in context.without:
         return
     run.leave_at = None
     run.avoided |= _leaving(run)
     if not any(server.leaving for server in run.path.servers[1:]):
         return
-    path = _way_round(peers, call, pipeline, run)
+    path = _way_round(context, call, pipeline, run)
     if path is not None:
-        _move_to(peers, call, pipeline, run, path, "leaving")
+        _move_to(context, call, pipeline, run, path, "leaving")
     else:
-        run.leave_at = now() + LEAVE_AGAIN_SECONDS * peers.rng.uniform(0.8, 1.2)
+        run.leave_at = now() + LEAVE_AGAIN_SECONDS * context.rng.uniform(0.8, 1.2)
 
 
 def _move(
-    peers: Peers, call: Call, pipeline: Pipeline, run: Run, reason: str, across: bool = False
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run, reason: str, across: bool = False
 ) -> bool:
     """Move a stream off the stages that it avoids, if others have room.
 
@@ -189,28 +189,32 @@
     :param across: whether stages of other halls may step in.
     :return: whether it was moved.
     """
-    if reason == "dead" and Mechanism.LEAVE_DEAD in peers.without:
+    if reason == "dead" and Mechanism.LEAVE_DEAD in context.without:
         return False
-    path = _way_round(peers, call, pipeline, run, across)
-    return path is not None and _move_to(peers, call, pipeline, run, path, reason)
+    path = _way_round(context, call, pipeline, run, across)
+    return path is not None and _move_to(context, call, pipeline, run, path, reason)
 
 
-def _way_round(peers: Peers, call: Call, pipeline: Pipeline, run: Run, across: bool = False) -> Path | None:
+def _way_round(
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run, across: bool = False
+) -> Path | None:
     """Find a path with room round the stages that a stream avoids, if it may be moved now.
 
     :param across: whether stages of other halls may step in.
     """
-    if now() < run.move_at or peers.quarantine.holds(call):
+    if now() < run.move_at or context.quarantine.holds(call):
         return None
-    return peers.paths.detour(run.path, call.service, pipeline, run.avoided, across)
+    return context.paths.detour(run.path, call.service, pipeline, run.avoided, across)
 
 
-def _move_to(peers: Peers, call: Call, pipeline: Pipeline, run: Run, path: Path, reason: str) -> bool:
+def _move_to(
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run, path: Path, reason: str
+) -> bool:
     """Have a stream go on over another path; tell whether its first stage took that."""
     since = now()
     run.move_at = since + MOVE_PAUSE
     head = run.path.servers[0].facts
-    outcome = peers.control.reroute(head.id, head.address, call.head.id, path.route)
+    outcome = context.control.reroute(head.id, head.address, call.head.id, path.route)
     event(
         "INFO",
         "rerouted",
@@ -221,7 +225,7 @@
         route=path.describe(),
     )
     if outcome.moved:
-        peers.paths.take(path, pipeline, run.path)
+        context.paths.take(path, pipeline, run.path)
         path.sent()
         run.move(path, since)
     return outcome.moved
@@ -233,7 +237,7 @@
     return frozenset(s.facts.id for s in behind if s.leaving and s.facts.id not in run.avoided)
 
 
-def look_into(peers: Peers, call: Call, pipeline: Pipeline, run: Run, patience: float) -> None:
+def look_into(context: RelayContext, call: Call, pipeline: Pipeline, run: Run, patience: float) -> None:
     """Find out why a stream stands still, and move it away from a dead stage.
 
     :param patience: seconds without an event after which it is looked into.
@@ -241,47 +245,47 @@
     """
     if call.seconds_left() <= 0:
         raise BackendSilent("no whole answer in time", step="stream", peer=run.exchange.backend)
-    dead = dead_stages(peers, call, run, patience)
+    dead = dead_stages(context, call, run, patience)
     if dead:
-        blame(peers, call, run, next(s for s in run.path.servers if s.facts.id in dead))
-    if not dead and connection_silent(peers, call, run):
-        peers.links.distrust_before(run.event_at)
-        if _can_resend(peers, call, pipeline, run):
+        blame(context, call, run, next(s for s in run.path.servers if s.facts.id in dead))
+    if not dead and connection_silent(context, call, run):
+        context.pool.distrust_before(run.event_at)
+        if _can_resend(context, call, pipeline, run):
             raise BackendError("the connection is silent", step="stream", peer=run.exchange.backend)
-    if not dead and Mechanism.LEAVE_SLOW in peers.without:
+    if not dead and Mechanism.LEAVE_SLOW in context.without:
         return
     if not dead:
-        leave_slow(peers, call, pipeline, run)
+        leave_slow(context, call, pipeline, run)
         return
     head = run.path.servers[0]
     if head.facts.id in dead:
-        _end_or_stay(peers, call, pipeline, run, head, "the first stage is dead")
+        _end_or_stay(context, call, pipeline, run, head, "the first stage is dead")
         return
     if now() < run.stay_until:
         return
     run.avoided |= dead
-    if _move(peers, call, pipeline, run, "dead"):
+    if _move(context, call, pipeline, run, "dead"):
         return
-    if not _can_resend(peers, call, pipeline, run) and _move(peers, call, pipeline, run, "dead", True):
+    if not _can_resend(context, call, pipeline, run) and _move(context, call, pipeline, run, "dead", True):
         return
     silent = next(server for server in run.path.servers if server.facts.id in dead)
-    _end_or_stay(peers, call, pipeline, run, silent, "no other stages for those of a dead one")
+    _end_or_stay(context, call, pipeline, run, silent, "no other stages for those of a dead one")
 
 
-def blame(peers: Peers, call: Call, run: Run, stage: Server) -> None:
+def blame(context: RelayContext, call: Call, run: Run, stage: Server) -> None:
     """Note that a stage may have ended under a call.
 
     It ends one of its stages at most, and one behind the first may have ended before the request was sent,
     as is likely where several end at once: innocent requests would be held back for such ends.
     """
-    if run.blamed or (stage is not run.path.servers[0] and peers.quarantine.many_ended(call)):
+    if run.blamed or (stage is not run.path.servers[0] and context.quarantine.many_ended(call)):
         return
     run.blamed = True
-    peers.quarantine.broke_off(call, stage.facts.key, run.begun_at, run.on_path_at)
+    context.quarantine.broke_off(call, stage.facts.key, run.begun_at, run.on_path_at)
 
 
 def _end_or_stay(
-    peers: Peers, call: Call, pipeline: Pipeline, run: Run, stage: Server, reason: str
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run, stage: Server, reason: str
 ) -> None:
     """End a run that a stage keeps from going on, if the call can go on elsewhere.
 
@@ -293,31 +297,34 @@
 
     :raises BackendError: when the run is to end.
     """
-    if _can_resend(peers, call, pipeline, run):
+    if _can_resend(context, call, pipeline, run):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
     if not stage.ended(now()):
         return
-    if stage is run.path.servers[0] or not run.begun or not _may_stay(peers, call):
+    if stage is run.path.servers[0] or not run.begun or not _may_stay(context, call):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
     run.stay_until = now() + STAY_SECONDS
 
 
-def _may_stay(peers: Peers, call: Call) -> bool:
+def _may_stay(context: RelayContext, call: Call) -> bool:
     """Tell whether a begun stream may wait until others hold the layers of an ended stage."""
-    return Mechanism.BEGUN_WAIT not in peers.without and not peers.quarantine.holds(call)
+    return Mechanism.BEGUN_WAIT not in context.without and not context.quarantine.holds(call)
 
 
-def _can_resend(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> bool:
+def _can_resend(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> bool:
     """Tell whether a call may be sent anew, and has a place elsewhere."""
-    if call.once or not run.attempts.may_repeat(peers):
+    if call.once or not run.attempts.can_retry(context):
         return False
     silent = frozenset(s.facts.id for s in run.path.servers if s.suspect)
     avoided = silent | {run.path.servers[0].facts.id}
     demand = demand_of(call, pipeline)
-    return peers.paths.choose(call.service, pipeline, demand, avoided, run.attempts.only()) is not None
+    return (
+        context.paths.choose(call.service, pipeline, demand, avoided, run.attempts.allowed_servers())
+        is not None
+    )
 
 
-def leave_slow(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> None:
+def leave_slow(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> None:
     """Move a stream that is waited for off stages that turned slow, if there are others with room.
 
     Stages that were known to be slow when the path was chosen were the best there were.
@@ -326,20 +333,20 @@
     """
     head = run.path.servers[0]
     slow = slow_stages(run.path) - run.slow_before
-    if head.facts.id in slow and not run.begun and _can_resend(peers, call, pipeline, run):
+    if head.facts.id in slow and not run.begun and _can_resend(context, call, pipeline, run):
         raise BackendError("the first stage has turned slow", step="stream", peer=head.facts.id)
     behind = slow - {head.facts.id}
     if behind:
         # Others may have no room now and have some at the next look.
         run.avoided |= behind
-        _move(peers, call, pipeline, run, "slow")
+        _move(context, call, pipeline, run, "slow")
 
 
-def connection_silent(peers: Peers, call: Call, run: Run) -> bool:
+def connection_silent(context: RelayContext, call: Call, run: Run) -> bool:
     """Tell whether a stream stands still though its first stage neither waits nor lets it wait."""
     if now() - run.event_at < SILENT_SECONDS:
         return False
-    finding = peers.diagnosis.findings.get(run.path.servers[0].facts.id)
+    finding = context.diagnosis.findings.get(run.path.servers[0].facts.id)
     report = finding.report if finding is not None else None
     return report is not None and report.queued == 0 and call.head.id not in report.stalled
 
@@ -349,12 +356,12 @@
     return frozenset(s.facts.id for s in path.servers if s.pace > SLOW_PACE)
 
 
-def dead_stages(peers: Peers, call: Call, run: Run, patience: float) -> frozenset[BackendId]:
+def dead_stages(context: RelayContext, call: Call, run: Run, patience: float) -> frozenset[BackendId]:
     """Return the stages of a stream that are dead, by what is known or else by asking them."""
     known = frozenset(s.facts.id for s in run.path.servers if s.suspect)
     if known or now() < run.look_at:
         return known
-    dead = peers.diagnosis.look(run.path.servers, call.head.id)
+    dead = context.diagnosis.look(run.path.servers, call.head.id)
     if not dead:
         run.looked(patience)
     return dead
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -11,13 +11,13 @@
 from bayglade.logs import event
 from bayglade.pathfinding import Path
 from bayglade.places import Place
-from bayglade.relay import Peers
+from bayglade.relay import RelayContext
 from bayglade.servers import Server
 from bayglade.upstream import DEFAULT_IDLE_SECONDS, MAX_IDLE_AT_MOST_ONCE, Exchange, open_exchange
 
 
 def send(
-    peers: Peers,
+    context: RelayContext,
     call: Call,
     server: Server,
     path: Path | None,
@@ -39,10 +39,10 @@
     :raises BackendError: when parts may have arrived.
     """
     facts = server.facts
-    check_sending(peers, call, server)
-    peers.quarantine.sent(call, facts.id)
+    check_may_send(context, call, server)
+    context.quarantine.sent(call, facts.id)
     max_idle = MAX_IDLE_AT_MOST_ONCE if call.once else DEFAULT_IDLE_SECONDS
-    exchange = open_exchange(peers.links, facts.id, facts.address, max_idle)
+    exchange = open_exchange(context.pool, facts.id, facts.address, max_idle)
     try:
         sending = Sending(
             backend=facts.id,
@@ -50,13 +50,13 @@
             route=path.route if path is not None else None,
             last_event=last_event,
         )
-        headers = peers.dialect.request_headers(call, sending)
+        headers = context.dialect.request_headers(call, sending)
         if call.body or call.method not in ("GET", "HEAD"):
             headers.append(("Content-Length", str(len(call.body))))
         start = f"{call.method} {call.target.decode('latin-1')} HTTP/1.1"
         # Opening a connection may take as long as a server takes to say that it wants no more.
-        check_sending(peers, call, server)
-        _keep_limits(place or path or Place((server,)))
+        check_may_send(context, call, server)
+        _confirm_rate_limits(place or path or Place((server,)))
         exchange.send(write_head(start, headers) + call.body, call.deadline)
     except BaseException:
         exchange.connection.sock.close()
@@ -74,18 +74,18 @@
     return exchange
 
 
-def check_sending(peers: Peers, call: Call, server: Server) -> None:
+def check_may_send(context: RelayContext, call: Call, server: Server) -> None:
     """Check what may have changed since a server was chosen for a call.
 
     :raises CutOff: when the call may no longer be sent.
     :raises BackendUnwilling: when the server leaves, or asked for a rest.
     """
-    peers.check(call)
+    context.check_authorization(call)
     if server.leaving or server.resting(now()):
         raise BackendUnwilling("the server wants no requests now", step="send", peer=server.facts.id)
 
 
-def _keep_limits(place: Place) -> None:
+def _confirm_rate_limits(place: Place) -> None:
     """Check that a request was taken out of the limits of its servers, just before it goes out.
 
     :raises BackendUnwilling: when one of them has named a limit since it was chosen.
@@ -96,8 +96,8 @@
     place.sent()
 
 
-def answer_head(
-    peers: Peers, call: Call, server: Server, exchange: Exchange, until: float
+def read_answer_head(
+    context: RelayContext, call: Call, server: Server, exchange: Exchange, until: float
 ) -> tuple[Message, AnswerHead]:
     """Wait for the head of the own answer.
 
@@ -111,15 +111,15 @@
     :raises BackendError: when there is no answer, or none that is the server's own.
     """
 
-    def own(message: Message) -> bool:
-        request = peers.dialect.read_answer(message).request
+    def is_own(message: Message) -> bool:
+        request = context.dialect.read_answer(message).request
         return request is None or request == call.head.id
 
-    message = exchange.read_head(until, own)
-    head = peers.dialect.read_answer(message)
+    message = exchange.read_head(until, is_own)
+    head = context.dialect.read_answer(message)
     misdirected = head.instance is not None and head.instance != exchange.backend
     if not misdirected:
-        take_word(peers, server, head, exchange.sent_at)
+        apply_server_notices(context, server, head, exchange.sent_at)
     if head.not_run:
         raise BackendRefused(
             f"the server answered {message.status}",
@@ -134,7 +134,7 @@
     return message, head
 
 
-def take_word(peers: Peers, server: Server, head: AnswerHead, sent_at: float) -> None:
+def apply_server_notices(context: RelayContext, server: Server, head: AnswerHead, sent_at: float) -> None:
     """Take in what a server says of itself in an answer.
 
     One that turns a request away on behalf of a later stage rests as well: it is the one that answered.
@@ -142,9 +142,9 @@
     :param sent_at: when the request went out, in monotonic seconds.
     """
     if head.leaving:
-        peers.fleet.said_leaving(server, "its answer")
+        context.fleet.said_leaving(server, "its answer")
     if head.rest_seconds is not None:
-        peers.fleet.rest(server, head.rest_seconds)
+        context.fleet.rest(server, head.rest_seconds)
     if head.rate_limit is not None or head.genuine:
         # Only what the server vouches for shows that it names no limit any more.
-        peers.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
+        context.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -28,9 +28,9 @@
 from bayglade.mechanisms import Mechanism
 from bayglade.pathfinding import Path
 from bayglade.pipelines import Pipeline
-from bayglade.relay import Attempts, Peers, await_word, content_of
+from bayglade.relay import Attempts, RelayContext, await_crash_reports, request_fingerprint
 from bayglade.runs import Run, blame, leave_planned, look_into
-from bayglade.sending import answer_head, send
+from bayglade.sending import read_answer_head, send
 from bayglade.servers import Server
 from bayglade.trials import ended_stages, heads_to_avoid
 from bayglade.upstream import Exchange
@@ -101,7 +101,7 @@
         self.connection.send(self.begin(message) + LAST_CHUNK)
 
 
-def relay_stream(peers: Peers, call: Call, pipeline: Pipeline, connection: Connection) -> None:
+def relay_stream(context: RelayContext, call: Call, pipeline: Pipeline, connection: Connection) -> None:
     """Serve a call to a model.
 
     :param peers: what the relay works with.
@@ -113,62 +113,62 @@
     """
     attempts = Attempts(call)
     delivery = Delivery(connection, call.head.last_event)
-    peers.budget(call.service).note_request()
-    peers.wait_queues.charge(call)
+    context.retry_budget(call.service).note_request()
+    context.wait_queues.charge(call)
     avoided: frozenset[BackendId] = frozenset()
-    while attempts.open(_endures(peers, delivery)):
-        if _endures(peers, delivery) and not _await_repeat(peers, call, attempts):
+    while attempts.can_continue(_endures(context, delivery)):
+        if _endures(context, delivery) and not _await_repeat(context, call, attempts):
             break
-        path = _find_place(peers, call, pipeline, attempts, delivery, avoided)
+        path = _find_place(context, call, pipeline, attempts, delivery, avoided)
         if path is None:
             # Servers that failed may do by now; dead ones are left out by the fleet.
-            if not avoided or attempts.full_for is not None:
+            if not avoided or attempts.seconds_until_room is not None:
                 break
             avoided = frozenset()
             continue
-        if ended := ended_stages(peers, call, path.servers):
+        if ended := ended_stages(context, call, path.servers):
             path.release()
             # As with any server that is not reached: else one that is not suspect is chosen on and on.
-            attempts.unreached += 1
+            attempts.unreachable_count += 1
             avoided |= ended
             continue
         run = Run(path, attempts)
         try:
-            if not attempts.may_send(peers, _endures(peers, delivery)):
-                if attempts.stopped is None and _endures(peers, delivery):
+            if not attempts.acquire_send(context, _endures(context, delivery)):
+                if attempts.stop_error is None and _endures(context, delivery):
                     continue
                 break
-            _attempt(peers, call, pipeline, run, delivery, attempts)
-            _note_answer(peers, call, delivery, attempts)
+            _attempt(context, call, pipeline, run, delivery, attempts)
+            _note_answer(context, call, delivery, attempts)
             return
         except BackendError as error:
-            avoided |= _note_failure(peers, call, run, error)
-            if not attempts.failed(error):
+            avoided |= _note_failure(context, call, run, error)
+            if not attempts.note_failure(error):
                 break
         except (CutOff, Unauthenticated):
             # Both say that the call has not run, which is no longer sure of one that was sent.
-            if not attempts.unknown:
+            if not attempts.may_have_run:
                 raise
-            if not _endures(peers, delivery):
+            if not _endures(context, delivery):
                 break
         finally:
             run.path.release()
-            peers.wait_queues.note_completion(call.service)
-        await_word(peers, call)
-    raise attempts.error(peers.rng)
+            context.wait_queues.note_completion(call.service)
+        await_crash_reports(context, call)
+    raise attempts.final_error(context.rng)
 
 
-def _endures(peers: Peers, delivery: Delivery) -> bool:
+def _endures(context: RelayContext, delivery: Delivery) -> bool:
     """Tell whether a stream is kept for as long as its time lasts.
 
     A call that has got nothing is best refused early: its caller may ask elsewhere. Of a stream that has
     begun only a broken answer would be left, and its caller knows best for how long to wait: by the bounds
     on new calls it would be cut moments before others hold the layers of a lost server.
     """
-    return delivery.begun and Mechanism.BEGUN_WAIT not in peers.without
+    return delivery.begun and Mechanism.BEGUN_WAIT not in context.without
 
 
-def _await_repeat(peers: Peers, call: Call, attempts: Attempts) -> bool:
+def _await_repeat(context: RelayContext, call: Call, attempts: Attempts) -> bool:
     """Wait until a stream that has begun may be sent once more, before it takes a place from others.
 
     :return: false when its time is over, or it must not be sent any more.
@@ -176,24 +176,24 @@
     if attempts.exhausted():
         _pause(call)
     told = False
-    while call.seconds_left() > 0 and not attempts.held(peers):
-        spent = not attempts.has_budget(peers)
-        if not spent and _trusted(peers, call):
+    while call.seconds_left() > 0 and not attempts.check_stopped(context):
+        spent = not attempts.has_retry_budget(context)
+        if not spent and _trusted(context, call):
             return True
         if spent and not told:
-            attempts.tell_spent(peers)
+            attempts.log_budget_spent(context)
             told = True
         _pause(call)
     return False
 
 
-def _trusted(peers: Peers, call: Call) -> bool:
+def _trusted(context: RelayContext, call: Call) -> bool:
     """Tell whether what is known of keys is fresh enough to send a call.
 
     :raises Unauthenticated: when its key was taken away.
     """
     try:
-        peers.check(call)
+        context.check_authorization(call)
     except CutOff:
         return False
     return True
@@ -204,7 +204,7 @@
 
 
 def _find_place(
-    peers: Peers,
+    context: RelayContext,
     call: Call,
     pipeline: Pipeline,
     attempts: Attempts,
@@ -216,59 +216,59 @@
     :return: the path, taken; nothing when there is none, or no room in time.
     """
     demand = demand_of(call, pipeline)
-    attempts.full_for = None
+    attempts.seconds_until_room = None
 
     def seek_without(servers: frozenset[BackendId]) -> Path | None:
-        path = peers.paths.choose(call.service, pipeline, demand, servers, attempts.only())
+        path = context.paths.choose(call.service, pipeline, demand, servers, attempts.allowed_servers())
         if path is not None:
-            peers.paths.take(path, pipeline)
+            context.paths.take(path, pipeline)
         return path
 
     def seek() -> Path | None:
         return seek_without(avoided)
 
-    if (others := heads_to_avoid(peers, call, avoided)) and (
+    if (others := heads_to_avoid(context, call, avoided)) and (
         path := seek_without(avoided | others)
     ) is not None:
         return path
-    if not peers.wait_queues.has_waiters(call.service):
+    if not context.wait_queues.has_waiters(call.service):
         path = seek()
         if path is not None:
             return path
-    if _endures(peers, delivery):
-        return _await_place(peers, call, attempts, seek_without, avoided)
-    heads = attempts.only()
-    rest = peers.paths.seconds_until_covered(call.service, pipeline, avoided, heads)
-    if rest is None and not (attempts.unknown and Mechanism.BEGUN_WAIT not in peers.without):
+    if _endures(context, delivery):
+        return _await_place(context, call, attempts, seek_without, avoided)
+    heads = attempts.allowed_servers()
+    rest = context.paths.seconds_until_covered(call.service, pipeline, avoided, heads)
+    if rest is None and not (attempts.may_have_run and Mechanism.BEGUN_WAIT not in context.without):
         return None
     since = delivery.sent_at if delivery.begun else call.arrived
     until = min(call.deadline, since + WAIT_SECONDS)
     # What may have run cannot be refused as not run: it waits for layers that are being loaded as well.
     expected = max(
-        rest or 0.0, peers.wait_queues.expected_wait(call.service), _limited_seconds(peers, call)
+        rest or 0.0, context.wait_queues.expected_wait(call.service), _limited_seconds(context, call)
     )
-    if now() + expected <= until and Mechanism.WAITING not in peers.without:
-        path = peers.wait_queues.wait(call, seek, until, restricted=bool(avoided) or heads is not None)
+    if now() + expected <= until and Mechanism.WAITING not in context.without:
+        path = context.wait_queues.wait(call, seek, until, restricted=bool(avoided) or heads is not None)
         if path is not None:
             return path
-    attempts.full_for = expected
+    attempts.seconds_until_room = expected
     if expected > 0:
-        peers.wait_queues.note_deferred(call.service, expected)
+        context.wait_queues.note_deferred(call.service, expected)
     event(
         "INFO", "no room", request=call.head.id, expected=round(expected, 2), waited=round(now() - since, 3)
     )
     return None
 
 
-def _limited_seconds(peers: Peers, call: Call) -> float:
+def _limited_seconds(context: RelayContext, call: Call) -> float:
     """Return how long a new stream waits where all first stages name limits; zero where one does not."""
-    heads = [s for s in peers.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
-    ahead = peers.wait_queues.count_ahead(call.service)
-    return peers.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
+    heads = [s for s in context.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
+    ahead = context.wait_queues.count_ahead(call.service)
+    return context.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
 
 
 def _await_place(
-    peers: Peers,
+    context: RelayContext,
     call: Call,
     attempts: Attempts,
     seek_without: Callable[[frozenset[BackendId]], Path | None],
@@ -285,9 +285,9 @@
     def seek() -> Path | None:
         return seek_without(avoided if now() < since + RESEND_SECONDS else frozenset())
 
-    choosy = bool(avoided) or attempts.only() is not None
-    path = peers.wait_queues.wait(
-        call, seek, call.deadline, choosy, begun=True, should_give_up=lambda: peers.quarantine.holds(call)
+    choosy = bool(avoided) or attempts.allowed_servers() is not None
+    path = context.wait_queues.wait(
+        call, seek, call.deadline, choosy, begun=True, should_give_up=lambda: context.quarantine.holds(call)
     )
     event(
         "INFO",
@@ -300,16 +300,16 @@
     return path
 
 
-def _note_answer(peers: Peers, call: Call, delivery: Delivery, attempts: Attempts) -> None:
-    peers.quarantine.answered(call)
+def _note_answer(context: RelayContext, call: Call, delivery: Delivery, attempts: Attempts) -> None:
+    context.quarantine.answered(call)
     if delivery.first_seconds is not None:
-        peers.metrics.observe("first_event_seconds", delivery.first_seconds)
-        peers.metrics.observe("longest_gap_seconds", delivery.longest_gap)
+        context.metrics.observe("first_event_seconds", delivery.first_seconds)
+        context.metrics.observe("longest_gap_seconds", delivery.longest_gap)
     event(
         "INFO",
         "answered",
         request=call.head.id,
-        sent=attempts.sent,
+        sent=attempts.send_count,
         last=delivery.last_event,
         first=round(delivery.first_seconds or 0.0, 3),
         gap=round(delivery.longest_gap, 3),
@@ -317,38 +317,40 @@
 
 
 def _attempt(
-    peers: Peers, call: Call, pipeline: Pipeline, run: Run, delivery: Delivery, attempts: Attempts
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run, delivery: Delivery, attempts: Attempts
 ) -> None:
     """Make one attempt, to the end of the stream."""
     head = run.path.servers[0]
     keep_seconds = None
-    exchange = send(peers, call, head, run.path, delivery.last_event)
+    exchange = send(context, call, head, run.path, delivery.last_event)
     run.sent(exchange)
-    attempts.note(head)
+    attempts.note_sent(head)
     try:
-        message, answer = _await_head(peers, call, pipeline, run)
+        message, answer = _await_head(context, call, pipeline, run)
         if message.status != 200:
             _pass_on(call, exchange, message, delivery)
         else:
-            _pass_events(peers, call, pipeline, run, message, delivery)
+            _pass_events(context, call, pipeline, run, message, delivery)
         keep_seconds = answer.keep_seconds
     finally:
         run.was_read()
         exchange.close(keep_seconds)
     for server in run.path.servers:
-        peers.fleet.succeeded(server)
+        context.fleet.succeeded(server)
 
 
-def _await_head(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> tuple[Message, AnswerHead]:
+def _await_head(
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run
+) -> tuple[Message, AnswerHead]:
     since = now()
     head = run.path.servers[0]
     while True:
-        patience = peers.stall_timeouts.first(call.endpoint.aim)
+        patience = context.stall_timeouts.first(call.endpoint.aim)
         try:
-            return answer_head(peers, call, head, run.exchange, _glance_until(call, since, patience))
+            return read_answer_head(context, call, head, run.exchange, _glance_until(call, since, patience))
         except BackendSilent:
             if run.on_dead_stage() or _waited(call, since, patience):
-                look_into(peers, call, pipeline, run, patience)
+                look_into(context, call, pipeline, run, patience)
                 since = now()
 
 
@@ -378,35 +380,35 @@
 
 
 def _pass_events(
-    peers: Peers, call: Call, pipeline: Pipeline, run: Run, message: Message, delivery: Delivery
+    context: RelayContext, call: Call, pipeline: Pipeline, run: Run, message: Message, delivery: Delivery
 ) -> None:
     splitter = EventSplitter()
     since = now()
     while True:
         if delivery.begun:
-            patience = peers.stall_timeouts.gap(call.endpoint.gap_aim)
+            patience = context.stall_timeouts.gap(call.endpoint.gap_aim)
         else:
-            patience = peers.stall_timeouts.first(call.endpoint.aim)
+            patience = context.stall_timeouts.first(call.endpoint.aim)
         try:
             piece = run.exchange.read_piece(_glance_until(call, since, patience))
         except BackendSilent:
             if run.on_dead_stage() or _waited(call, since, patience):
-                look_into(peers, call, pipeline, run, patience)
+                look_into(context, call, pipeline, run, patience)
                 since = now()
             continue
         if piece is None:
             break
         since = now()
-        peers.stall_timeouts.note(now() - run.event_at, run.begun)
+        context.stall_timeouts.note(now() - run.event_at, run.begun)
         run.moved_on()
         delivery.deliver(message, splitter.feed(piece))
-        leave_planned(peers, call, pipeline, run)
+        leave_planned(context, call, pipeline, run)
     if splitter.rest:
         raise BackendError("the stream ended inside an event", step="stream", peer=run.exchange.backend)
     delivery.end(message)
 
 
-def _note_failure(peers: Peers, call: Call, run: Run, error: BackendError) -> frozenset[BackendId]:
+def _note_failure(context: RelayContext, call: Call, run: Run, error: BackendError) -> frozenset[BackendId]:
     """Judge the servers of a failed attempt; return those to avoid now."""
     path, head = run.path, run.path.servers[0]
     server = _at_fault(path, error.at_fault) if isinstance(error, BackendRefused) else head
@@ -417,30 +419,30 @@
         peer=head.facts.id,
         at_fault=server.facts.id,
         error=repr(error),
-        content=content_of(peers, call, error),
+        content=request_fingerprint(context, call, error),
         rest=error.rest_seconds if isinstance(error, BackendRefused) else None,
         begun=None if run.begun_at is None else round(now() - run.begun_at, 3),
     )
     if isinstance(error, BackendRefused):
         if error.misdirected:
-            peers.fleet.mark_leaving(head, "another server has its address")
+            context.fleet.mark_leaving(head, "another server has its address")
             return frozenset({server.facts.id})
         server.short_until = now() + SHORT_SECONDS
         if server is not head:
             if error.rest_seconds is not None:
-                peers.fleet.rest(server, error.rest_seconds)
+                context.fleet.rest(server, error.rest_seconds)
             # The head says which stage did not take part, not why: one that is dead has to be known.
-            eventlet.spawn_n(peers.diagnosis.examine, [server])
+            eventlet.spawn_n(context.diagnosis.examine, [server])
         return frozenset({server.facts.id})
     if isinstance(error, BackendUnwilling):
         return frozenset({BackendId(error.peer)})
     if not isinstance(error, BackendUnreachable):
-        blame(peers, call, run, head)
+        blame(context, call, run, head)
     if isinstance(error, BackendUnreachable):
-        peers.fleet.suspect(head, error.code)
+        context.fleet.suspect(head, error.code)
     elif not head.suspect:
         # A server that ends breaks its connections off: others have to know before they find out.
-        eventlet.spawn_n(peers.diagnosis.examine_anew, [head])
+        eventlet.spawn_n(context.diagnosis.examine_anew, [head])
     dead = {server.facts.id for server in path.servers if server.suspect}
     return frozenset(dead) or frozenset({head.facts.id})
 
--- a/bayglade/trials.py
+++ b/bayglade/trials.py
@@ -12,7 +12,7 @@
 from bayglade.clock import now
 from bayglade.ids import BackendId
 from bayglade.quarantine import TRIAL_SECONDS
-from bayglade.relay import Peers, look_at
+from bayglade.relay import RelayContext, probe_server
 from bayglade.servers import Server
 
 TRIAL_POLL = 0.05
@@ -20,7 +20,7 @@
 """How long stages may take to accept a connection when they are looked at."""
 
 
-def heads_to_avoid(peers: Peers, call: Call, avoided: frozenset[BackendId]) -> frozenset[BackendId]:
+def heads_to_avoid(peers: RelayContext, call: Call, avoided: frozenset[BackendId]) -> frozenset[BackendId]:
     """Choose the first stage on which a suspect runs apart; wait a moment for one where no other does.
 
     Of two that chance names it gets the one with less under way: daemons choose without
@@ -45,7 +45,7 @@
     return frozenset(server.facts.id for server in heads if server is not chosen)
 
 
-def wait_apart(peers: Peers, call: Call, servers: Sequence[Server]) -> list[Server]:
+def wait_apart(peers: RelayContext, call: Call, servers: Sequence[Server]) -> list[Server]:
     """Return the servers on which no other suspect of this daemon has just begun.
 
     :param peers: what the relay works with.
@@ -61,7 +61,7 @@
         eventlet.sleep(TRIAL_POLL)
 
 
-def ended_stages(peers: Peers, call: Call, servers: Sequence[Server]) -> frozenset[BackendId]:
+def ended_stages(peers: RelayContext, call: Call, servers: Sequence[Server]) -> frozenset[BackendId]:
     """Return the servers of a path that have ended already, before a call that one more end would stop.
 
     Of servers that end at once some are not known to have ended yet; a call that was sent over one would
@@ -74,7 +74,7 @@
     """
     if peers.quarantine.gather_seconds(call) <= 0:
         return frozenset()
-    looks = [eventlet.spawn(look_at, peers, server) for server in servers]
+    looks = [eventlet.spawn(probe_server, peers, server) for server in servers]
     with eventlet.Timeout(ENDED_SECONDS, False):
         for look in looks:
             look.wait()
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -17,8 +17,8 @@
 from bayglade.listener import Connection
 from bayglade.logs import event
 from bayglade.places import Place
-from bayglade.relay import Attempts, Peers, await_word, content_of, look_at
-from bayglade.sending import answer_head, send
+from bayglade.relay import Attempts, RelayContext, await_crash_reports, probe_server, request_fingerprint
+from bayglade.sending import read_answer_head, send
 from bayglade.servers import Server
 from bayglade.trials import wait_apart
 
@@ -44,7 +44,7 @@
         return f"<Answer {self.status} {len(self.content)} bytes>"
 
 
-def relay_whole(peers: Peers, call: Call, connection: Connection) -> None:
+def relay_whole(context: RelayContext, call: Call, connection: Connection) -> None:
     """Serve a call to a plain service.
 
     :param peers: what the relay works with.
@@ -53,86 +53,88 @@
     :raises BaygladeError: when there is no answer to pass on; nothing was sent to the caller.
     """
     attempts = Attempts(call)
-    peers.budget(call.service).note_request()
+    context.retry_budget(call.service).note_request()
     answer: Answer | None = None
-    while attempts.may_send(peers):
-        place = _find_place(peers, call, attempts)
+    while attempts.acquire_send(context):
+        place = _find_place(context, call, attempts)
         if place is None:
             break
         server = place.servers[0]
         try:
-            answer = _attempt(peers, call, place, attempts)
+            answer = _attempt(context, call, place, attempts)
         except BackendError as error:
-            _note_failure(peers, call, server, error)
-            if not attempts.failed(error):
+            _note_failure(context, call, server, error)
+            if not attempts.note_failure(error):
                 break
-            await_word(peers, call)
+            await_crash_reports(context, call)
             continue
         except (CutOff, Unauthenticated):
             # Both say that the call has not run, which is no longer sure of one that was sent.
-            if not attempts.unknown and answer is None:
+            if not attempts.may_have_run and answer is None:
                 raise
             break
         # A failure that the server vouches for goes on only when no other server may do better.
         if answer.status < 500 or not call.endpoint.repeatable:
             break
     if answer is None:
-        raise attempts.error(peers.rng)
+        raise attempts.final_error(context.rng)
     if answer.status < 500:
-        peers.quarantine.answered(call)
+        context.quarantine.answered(call)
     connection.answer(answer.status, answer.headers, answer.content)
-    event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.sent)
+    event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.send_count)
 
 
-def _find_place(peers: Peers, call: Call, attempts: Attempts) -> Place | None:
+def _find_place(context: RelayContext, call: Call, attempts: Attempts) -> Place | None:
     """Choose a server, or wait until one that names a limit takes another request.
 
     :return: the place there, taken; nothing when there is none in time.
     """
 
     def seek() -> Place | None:
-        server = _least_busy(peers, call, attempts)
+        server = _least_busy(context, call, attempts)
         if server is None:
             return None
         place = Place((server,))
         place.take()
         return place
 
-    attempts.full_for = None
-    in_turn = not peers.wait_queues.has_waiters(call.service)
+    attempts.seconds_until_room = None
+    in_turn = not context.wait_queues.has_waiters(call.service)
     if in_turn and (place := seek()) is not None:
         return place
-    servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
-    expected = peers.fleet.rate_limits.expected_wait(servers, peers.wait_queues.count_ahead(call.service))
+    servers = [s for s in context.fleet.sound(call.service) if s.facts.id not in attempts.tried]
+    expected = context.fleet.rate_limits.expected_wait(
+        servers, context.wait_queues.count_ahead(call.service)
+    )
     if expected is None and not in_turn and (place := seek()) is not None:
         # Those that wait are about to be let go: there is a server without a limit.
         return place
     if expected is None:
-        attempts.full_for = peers.fleet.opens_in(call.service)
+        attempts.seconds_until_room = context.fleet.opens_in(call.service)
         return None
     # Later it could not be answered before its deadline.
     until = min(call.deadline - call.endpoint.aim, call.arrived + WAIT_SECONDS)
     if now() + expected <= until and any(server.throttle is not None for server in servers):
-        place = peers.wait_queues.wait(call, seek, until, restricted=bool(attempts.tried))
+        place = context.wait_queues.wait(call, seek, until, restricted=bool(attempts.tried))
         if place is not None:
             return place
-    attempts.full_for = expected
-    peers.wait_queues.note_deferred(call.service, expected)
+    attempts.seconds_until_room = expected
+    context.wait_queues.note_deferred(call.service, expected)
     event("INFO", "no room", request=call.head.id, expected=round(expected, 2))
     return None
 
 
-def _attempt(peers: Peers, call: Call, place: Place, attempts: Attempts) -> Answer:
+def _attempt(context: RelayContext, call: Call, place: Place, attempts: Attempts) -> Answer:
     server = place.servers[0]
     attempts.tried.add(server.facts.id)
     server.in_flight += 1
     keep_seconds = None
     try:
-        exchange = send(peers, call, server, None, None, place)
-        attempts.note(server)
+        exchange = send(context, call, server, None, None, place)
+        attempts.note_sent(server)
         try:
-            until = _patience(peers, call, attempts)
-            message, head = answer_head(peers, call, server, exchange, until)
+            until = _patience(context, call, attempts)
+            message, head = read_answer_head(context, call, server, exchange, until)
             pieces = []
             while (piece := exchange.read_piece(call.deadline)) is not None:
                 pieces.append(piece)
@@ -143,30 +145,30 @@
         server.in_flight -= 1
         place.release()
     if message.status < 500:
-        peers.fleet.succeeded(server)
+        context.fleet.succeeded(server)
     return Answer(message, b"".join(pieces))
 
 
-def _patience(peers: Peers, call: Call, attempts: Attempts) -> float:
+def _patience(context: RelayContext, call: Call, attempts: Attempts) -> float:
     """Return until when to wait for the head of an answer."""
     endpoint = call.endpoint
-    others = [s for s in peers.fleet.usable(call.service) if s.facts.id not in attempts.tried]
-    if not endpoint.repeatable or not others or len(attempts.heads) >= endpoint.max_attempts:
+    others = [s for s in context.fleet.usable(call.service) if s.facts.id not in attempts.tried]
+    if not endpoint.repeatable or not others or len(attempts.used_servers) >= endpoint.max_attempts:
         return call.deadline
     return min(call.deadline, now() + PATIENCE_OF_AIM * endpoint.aim)
 
 
-def _least_busy(peers: Peers, call: Call, attempts: Attempts) -> Server | None:
+def _least_busy(context: RelayContext, call: Call, attempts: Attempts) -> Server | None:
     """Choose a server that was not tried, the least busy by this daemon's own count."""
     at = now()
-    servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
-    peers.fleet.rate_limits.want(servers)
+    servers = [s for s in context.fleet.sound(call.service) if s.facts.id not in attempts.tried]
+    context.fleet.rate_limits.want(servers)
     fitting = [server for server in servers if server.opens_at(at) <= at]
-    if not fitting or attempts.only() is not None:
+    if not fitting or attempts.allowed_servers() is not None:
         return None
-    if peers.quarantine.suspects(call):
-        fitting = wait_apart(peers, call, fitting) or fitting
-    own = peers.paths.hall
+    if context.quarantine.suspects(call):
+        fitting = wait_apart(context, call, fitting) or fitting
+    own = context.paths.hall
     return min(
         fitting,
         key=lambda s: (
@@ -174,35 +176,35 @@
             + (AWAY_COST if s.facts.hall != own else 0.0)
             + s.failures
             + s.refusals.read(at),
-            peers.rng.random(),
+            context.rng.random(),
         ),
     )
 
 
-def _note_failure(peers: Peers, call: Call, server: Server, error: BackendError) -> None:
+def _note_failure(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
     event(
         "INFO",
         "attempt failed",
         request=call.head.id,
         peer=server.facts.id,
         error=repr(error),
-        content=content_of(peers, call, error),
+        content=request_fingerprint(context, call, error),
         rest=error.rest_seconds if isinstance(error, BackendRefused) else None,
     )
     if isinstance(error, BackendRefused):
         server.refusals.add(1.0, now())
         if error.misdirected:
-            peers.fleet.mark_leaving(server, "another server has its address")
+            context.fleet.mark_leaving(server, "another server has its address")
         return
     if isinstance(error, BackendUnwilling):
         return
     if not isinstance(error, BackendUnreachable):
-        _note_break(peers, call, server, error)
-    peers.fleet.suspect(server, error.code)
+        _note_break(context, call, server, error)
+    context.fleet.suspect(server, error.code)
 
 
-def _note_break(peers: Peers, call: Call, server: Server, error: BackendError) -> None:
+def _note_break(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
     """Note that a server may have ended while it ran a call, and look whether it has."""
-    peers.quarantine.broke_off(call, server.facts.key, None)
+    context.quarantine.broke_off(call, server.facts.key, None)
     if not isinstance(error, BackendSilent):
-        eventlet.spawn_n(look_at, peers, server)
+        eventlet.spawn_n(probe_server, context, server)
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -38,7 +38,7 @@
 from bayglade.paths import PathSelector
 from bayglade.presence import CallerLeft
 from bayglade.quarantine import Quarantine
-from bayglade.relay import MAX_SENDINGS, MAX_UNREACHED
+from bayglade.relay import MAX_SENDS, MAX_UNREACHABLE
 from bayglade.retries import RetryBudget
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
@@ -68,7 +68,7 @@
         self.wait_queues = WaitQueues(Usage(), lambda group: (0, 1.0))
         self.tasks = [eventlet.spawn(self.wait_queues.run)]
         self.quarantine = Quarantine(b"key", random.Random(1))
-        self.peers: Any = SimpleNamespace(
+        self.context: Any = SimpleNamespace(
             fleet=self.fleet,
             paths=PathSelector(self.fleet, HallName("a")),
             wait_queues=self.wait_queues,
@@ -76,9 +76,9 @@
             diagnosis=SimpleNamespace(examine=lambda servers: None, examine_anew=lambda servers: None),
             rng=random.Random(1),
             without=frozenset(),
-            budget=lambda service: self.budget,
+            retry_budget=lambda service: self.budget,
             borrow=lambda service, budget: None,
-            check=lambda call: None,
+            check_authorization=lambda call: None,
             metrics=SimpleNamespace(count=lambda name: None, observe=lambda name, seconds: None),
         )
         self.steps: list[Step] = []
@@ -87,8 +87,8 @@
         self.attempts = 0
         self.error: BaygladeError | None = None
 
-    def _attempt(self, peers: Any, call: Any, model: Any, run: Any, delivery: Any, attempts: Any) -> None:
-        attempts.note(run.path.servers[0])
+    def _attempt(self, context: Any, call: Any, model: Any, run: Any, delivery: Any, attempts: Any) -> None:
+        attempts.note_sent(run.path.servers[0])
         self.attempts += 1
         self.delivery = delivery
         if len(self.steps) >= self.attempts:
@@ -149,7 +149,7 @@
         def serve() -> None:
             try:
                 streams.relay_stream(
-                    self.peers,
+                    self.context,
                     self.call(seconds),
                     self.model,
                     SimpleNamespace(sent=False),  # type: ignore[arg-type]
@@ -208,7 +208,7 @@
 
 
 def test_a_begun_stream_is_not_given_up_for_the_wait_that_is_expected(scene: Scene) -> None:
-    scene.peers.wait_queues.expected_wait = lambda service: 60.0
+    scene.context.wait_queues.expected_wait = lambda service: 60.0
     task = scene.start(scene.break_off_full)
     eventlet.sleep(WAIT / 2)
     scene.fill(-FULL)
@@ -235,7 +235,7 @@
 ) -> None:
     monkeypatch.setattr(streams, "SHORT_SECONDS", 0.01)
     monkeypatch.setattr(streams, "RESEND_SECONDS", 0.02, raising=False)
-    refusals = MAX_SENDINGS + 2
+    refusals = MAX_SENDS + 2
     task = scene.start(scene.break_off, *[scene.refuse] * refusals)
     assert served(scene, task)
     assert scene.attempts == refusals + 2
@@ -249,7 +249,7 @@
     with eventlet.Timeout(5.0):
         task.wait()
     assert isinstance(scene.error, DeadlinePassed)
-    assert scene.attempts <= MAX_SENDINGS + 1.0 / streams.RESEND_SECONDS + 1
+    assert scene.attempts <= MAX_SENDS + 1.0 / streams.RESEND_SECONDS + 1
     assert scene.at_rest()
 
 
@@ -259,14 +259,14 @@
     monkeypatch.setattr(streams, "RESEND_SECONDS", 0.02, raising=False)
     looks = 0
 
-    def ended(peers: Any, call: Any, stages: Any) -> frozenset[Any]:
+    def ended(context: Any, call: Any, stages: Any) -> frozenset[Any]:
         nonlocal looks
         looks += scene.attempts
-        return frozenset({stages[-1].facts.id}) if 0 < looks <= MAX_UNREACHED + 3 else frozenset()
+        return frozenset({stages[-1].facts.id}) if 0 < looks <= MAX_UNREACHABLE + 3 else frozenset()
 
     monkeypatch.setattr(streams, "ended_stages", ended)
     assert served(scene, scene.start(scene.break_off))
-    assert looks > MAX_UNREACHED + 1
+    assert looks > MAX_UNREACHABLE + 1
     assert scene.at_rest()
 
 
@@ -276,7 +276,7 @@
 
 def test_a_begun_stream_waits_while_keys_are_not_trusted(scene: Scene) -> None:
     def broken_and_cut_off() -> None:
-        scene.peers.check = cut_off
+        scene.context.check_authorization = cut_off
         scene.break_off()
 
     task = scene.start(broken_and_cut_off, cut_off)
@@ -284,7 +284,7 @@
     assert scene.attempts == 1
     # It takes no place from others in the meantime.
     assert scene.at_rest()
-    scene.peers.check = lambda call: None
+    scene.context.check_authorization = lambda call: None
     assert served(scene, task)
     # The second attempt found the keys old in the moment of its sending.
     assert scene.attempts == 3
@@ -295,7 +295,7 @@
         raise Unauthenticated("no client account has this key", step="authenticate")
 
     def broken_and_taken_away() -> None:
-        scene.peers.check = taken_away
+        scene.context.check_authorization = taken_away
         scene.break_off()
 
     task = scene.start(broken_and_taken_away)
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -27,5 +27,5 @@
 
     monkeypatch.setattr(relay, "now", clock)
     monkeypatch.setattr(relay.eventlet, "sleep", sleep)
-    relay._gather(GATHER_SECONDS)
+    relay._wait_for_reports(GATHER_SECONDS)
     assert slept == [GATHER_SECONDS] * waits
--- a/tests/test_leaving_stages.py
+++ b/tests/test_leaving_stages.py
@@ -23,13 +23,13 @@
 
 def count_searches(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> list[float]:
     searched: list[float] = []
-    detour = scene.peers.paths.detour
+    detour = scene.context.paths.detour
 
     def count(*arguments: Any) -> Any:
         searched.append(scene.at)
         return detour(*arguments)
 
-    monkeypatch.setattr(scene.peers.paths, "detour", count)
+    monkeypatch.setattr(scene.context.paths, "detour", count)
     return searched
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -70,26 +70,26 @@
     monkeypatch.setattr(fleet, "now", lambda: at)
     listed, (first, second, *_) = servers
     attempts = Attempts(a_call(max_attempts=2))
-    attempts.note(first)
-    assert attempts.only() is None
+    attempts.note_sent(first)
+    assert attempts.allowed_servers() is None
     listed.suspect(first, "silent")
-    attempts.note(second)
-    assert attempts.only() == {"s0", "s1"}
+    attempts.note_sent(second)
+    assert attempts.allowed_servers() == {"s0", "s1"}
     at += SURE_SECONDS / 2
     listed.suspect(first, "silent")
-    assert attempts.only() == {"s0", "s1"}
+    assert attempts.allowed_servers() == {"s0", "s1"}
     at += SURE_SECONDS / 2
-    assert attempts.only() is None
+    assert attempts.allowed_servers() is None
 
 
 @pytest.mark.parametrize("how", ["leaving", "gone"])
 def test_a_server_that_has_ended_does_not_count(servers: tuple[Fleet, list[Server]], how: str) -> None:
     listed, (first, second, *_) = servers
     attempts = Attempts(a_call(max_attempts=2))
-    attempts.note(first)
-    attempts.note(second)
+    attempts.note_sent(first)
+    attempts.note_sent(second)
     if how == "leaving":
         listed.mark_leaving(first, "it says so")
     else:
         listed.take([], [first.facts.id], False)
-    assert attempts.only() is None
+    assert attempts.allowed_servers() is None
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -17,7 +17,7 @@
 from bayglade.ids import BackendId, Incarnation, MemberId, ServerKey
 from bayglade.quarantine import Quarantine
 from bayglade.relay import Attempts
-from bayglade.sending import answer_head, check_sending, send
+from bayglade.sending import check_may_send, read_answer_head, send
 from bayglade.servers import Server
 from bayglade.spreading import Spreading
 from bayglade.tombstones import MAX_TOMBSTONES
@@ -140,14 +140,14 @@
 def relaying(monkeypatch: pytest.MonkeyPatch, fleet: Fleet) -> tuple[Any, Connections]:
     connections = Connections()
     monkeypatch.setattr(sending, "open_exchange", connections.open)
-    peers = SimpleNamespace(
+    context = SimpleNamespace(
         fleet=fleet,
-        check=lambda call: None,
+        check_authorization=lambda call: None,
         quarantine=Quarantine(b"key", random.Random(1)),
-        links=None,
+        pool=None,
         dialect=SimpleNamespace(request_headers=lambda call, sending: []),
     )
-    return peers, connections
+    return context, connections
 
 
 @pytest.mark.parametrize("word", ["rest", "leaving"])
@@ -156,7 +156,7 @@
     clock: Clock, monkeypatch: pytest.MonkeyPatch, word: str, when: str
 ) -> None:
     fleet, server = listed()
-    peers, connections = relaying(monkeypatch, fleet)
+    context, connections = relaying(monkeypatch, fleet)
     call = a_call(2)
 
     def say() -> None:
@@ -170,22 +170,22 @@
     else:
         connections.on_open = say
     with pytest.raises(BackendUnwilling) as raised:
-        send(peers, call, server, None, None)
+        send(context, call, server, None, None)
     assert connections.sent == []
     assert raised.value.outcome is Outcome.NOT_RUN
     attempts = Attempts(call)
-    assert attempts.failed(raised.value)
-    assert (attempts.sent, attempts.unreached, attempts.unknown) == (0, 0, False)
+    assert attempts.note_failure(raised.value)
+    assert (attempts.send_count, attempts.unreachable_count, attempts.may_have_run) == (0, 0, False)
 
 
 def test_a_server_gets_requests_again_at_the_end_of_its_rest(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet, server = listed()
-    peers, connections = relaying(monkeypatch, fleet)
+    context, connections = relaying(monkeypatch, fleet)
     fleet.rest(server, REST)
     clock.at += REST
-    send(peers, a_call(2), server, None, None)
+    send(context, a_call(2), server, None, None)
     assert len(connections.sent) == 1
 
 
@@ -195,8 +195,8 @@
     exchange: Any = SimpleNamespace(
         backend=server.facts.id, sent_at=0.0, read_head=lambda until, is_own: message
     )
-    peers: Any = SimpleNamespace(fleet=fleet, dialect=SimpleNamespace(read_answer=lambda message: head))
-    answer_head(peers, a_call(2), server, exchange, 0.0)
+    context: Any = SimpleNamespace(fleet=fleet, dialect=SimpleNamespace(read_answer=lambda message: head))
+    read_answer_head(context, a_call(2), server, exchange, 0.0)
 
 
 @pytest.mark.parametrize("instance", [None, ID])
@@ -224,7 +224,7 @@
     answered(AnswerHead(request="q", genuine=True, not_run=False, leaving=True), 200, fleet, server)
     assert server.leaving
     with pytest.raises(BackendUnwilling):
-        check_sending(SimpleNamespace(check=lambda call: None), a_call(2), server)  # type: ignore[arg-type]
+        check_may_send(SimpleNamespace(check_authorization=lambda call: None), a_call(2), server)  # type: ignore[arg-type]
 
 
 def test_a_path_leaves_out_stages_at_rest_and_a_stream_stays_on_its_own(clock: Clock) -> None:
--- a/tests/test_staying_streams.py
+++ b/tests/test_staying_streams.py
@@ -50,7 +50,7 @@
 def test_it_does_not_seek_others_all_the_time(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     end(scene, scene.paired_stage())
     look_into(scene)
-    monkeypatch.setattr(scene.peers.paths, "detour", lambda *_: pytest.fail("it looked again at once"))
+    monkeypatch.setattr(scene.context.paths, "detour", lambda *_: pytest.fail("it looked again at once"))
     scene.at += STAY_SECONDS / 2
     assert not scene.run.on_dead_stage()
     look_into(scene)
@@ -75,7 +75,7 @@
 def test_it_ends_when_its_request_is_stopped(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     end(scene, scene.paired_stage())
     look_into(scene)
-    monkeypatch.setattr(scene.peers.quarantine, "holds", lambda call: True)
+    monkeypatch.setattr(scene.context.quarantine, "holds", lambda call: True)
     scene.at += STAY_SECONDS
     with pytest.raises(BackendError):
         look_into(scene)
@@ -89,5 +89,5 @@
     assert len(scene.rerouted) == 1
     scene.moved = True
     scene.at += max(MOVE_PAUSE, STAY_SECONDS)
-    runs.look_into(scene.peers, scene.call, scene.model, scene.run, 0.1)
+    runs.look_into(scene.context, scene.call, scene.model, scene.run, 0.1)
     assert len(scene.rerouted) == 2
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -15,7 +15,7 @@
 from bayglade.ids import HallName, RequestId
 from bayglade.paths import PathSelector
 from bayglade.quarantine import Quarantine
-from bayglade.relay import MAX_UNREACHED, Attempts
+from bayglade.relay import MAX_UNREACHABLE, Attempts
 from bayglade.retries import RetryBudget
 from bayglade.runs import LEAVE_SPREAD_SECONDS, Run, leave_planned
 from bayglade.servers import SURE_SECONDS
@@ -38,17 +38,17 @@
         self.rerouted: list[Any] = []
         control = SimpleNamespace(reroute=self._reroute)
         paths = PathSelector(self.fleet, HallName("a"))
-        self.peers: Any = SimpleNamespace(
+        self.context: Any = SimpleNamespace(
             fleet=self.fleet,
             paths=paths,
             control=control,
             rng=random.Random(1),
             without=frozenset(),
-            budget=lambda service: self.budget,
+            retry_budget=lambda service: self.budget,
             borrow=lambda service, budget: None,
             metrics=SimpleNamespace(count=lambda name: None),
         )
-        self.peers.quarantine = Quarantine(b"key", random.Random(1))
+        self.context.quarantine = Quarantine(b"key", random.Random(1))
         self.call: Any = SimpleNamespace(service=SERVICE, endpoint=SimpleNamespace(max_attempts=2))
         self.call.fingerprint = None
         self.call.group, self.call.method, self.call.target, self.call.body = "g", "POST", b"/x", b"prompt"
@@ -66,7 +66,7 @@
 
     def look(self, seconds: float = 0.0) -> None:
         self.at += seconds
-        leave_planned(self.peers, self.call, self.model, self.run)
+        leave_planned(self.context, self.call, self.model, self.run)
 
     def paired_stage(self) -> Any:
         """Return a stage behind the first whose layers another server holds as well."""
@@ -156,13 +156,13 @@
         self.scene = scene
         self.examined: list[Any] = []
         diagnosis = SimpleNamespace(examine=self.examined.append)
-        scene.peers.diagnosis = diagnosis
+        scene.context.diagnosis = diagnosis
         monkeypatch.setattr(streams.eventlet, "spawn_n", lambda act, *arguments: act(*arguments))
         monkeypatch.setattr(paths_module, "now", lambda: scene.at)
 
     def by(self, server: Any) -> frozenset[Any]:
         error = BackendRefused("full", step="answer", peer="p", at_fault=server.facts.address)
-        return _note_failure(self.scene.peers, self.scene.call, self.scene.run, error)
+        return _note_failure(self.scene.context, self.scene.call, self.scene.run, error)
 
 
 def test_a_stage_that_did_not_take_part_is_asked_whether_it_lives(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -188,7 +188,7 @@
     full = scene.run.path.servers[-1]
 
     def chosen() -> Any:
-        return scene.peers.paths.choose(SERVICE, scene.model, scene.model.usual())
+        return scene.context.paths.choose(SERVICE, scene.model, scene.model.usual())
 
     assert full in chosen().servers
     refused.by(full)
@@ -204,7 +204,7 @@
     scene = Scene(monkeypatch)
     slow = scene.paired_stage()
     scene.fleet.pace(slow, 12.0)
-    runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
+    runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
     assert slow not in scene.run.path.servers
     assert slow.cached == 0
     assert all(server.cached > 0 for server in scene.run.path.servers)
@@ -216,7 +216,7 @@
     scene = Scene(monkeypatch)
     scene.fleet.pace(scene.paired_stage(), 12.0)
     scene.run = Run(scene.run.path, Attempts(scene.call))
-    runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
+    runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
     assert scene.rerouted == []
 
 
@@ -235,9 +235,9 @@
     scene.fleet.pace(scene.run.path.servers[0], 12.0)
     if leaves:
         with pytest.raises(BackendError):
-            runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
+            runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
     else:
-        runs.leave_slow(scene.peers, scene.call, scene.model, scene.run)
+        runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
 
 
 def dead_head(scene: Scene, begun: bool = True) -> None:
@@ -252,7 +252,7 @@
 
 
 def look_into(scene: Scene) -> None:
-    runs.look_into(scene.peers, scene.call, scene.model, scene.run, 0.1)
+    runs.look_into(scene.context, scene.call, scene.model, scene.run, 0.1)
 
 
 def test_a_stream_whose_first_stage_is_silent_goes_on_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -323,10 +323,10 @@
 def test_a_first_stage_whose_connection_broke_is_asked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     asked: list[Any] = []
-    scene.peers.diagnosis = SimpleNamespace(examine_anew=asked.append)
+    scene.context.diagnosis = SimpleNamespace(examine_anew=asked.append)
     monkeypatch.setattr(streams.eventlet, "spawn_n", lambda act, servers: act(servers))
     error = BackendError("the connection broke", step="receive", peer="s")
-    _note_failure(scene.peers, scene.call, scene.run, error)
+    _note_failure(scene.context, scene.call, scene.run, error)
     assert asked == [[scene.run.path.servers[0]]]
 
 
@@ -337,7 +337,7 @@
     scene.run.path.release()
     looks = 0
 
-    def ended(peers: Any, call: Any, stages: Any) -> frozenset[Any]:
+    def ended(context: Any, call: Any, stages: Any) -> frozenset[Any]:
         nonlocal looks
         looks += 1
         assert looks < 50
@@ -345,15 +345,15 @@
 
     monkeypatch.setattr(streams, "ended_stages", ended)
     scene.call.seconds_left, scene.call.deadline, scene.call.arrived = lambda: 10.0, 1000.0, scene.at
-    scene.peers.wait_queues = SimpleNamespace(
+    scene.context.wait_queues = SimpleNamespace(
         charge=lambda call: None,
         has_waiters=lambda service: False,
         expected_wait=lambda service: 0.0,
         wait=lambda *_, **options: None,
     )
     with pytest.raises((NoRoute, Overloaded)):
-        streams.relay_stream(scene.peers, scene.call, scene.model, SimpleNamespace(sent=False))  # type: ignore[arg-type]
-    assert looks <= MAX_UNREACHED + 1
+        streams.relay_stream(scene.context, scene.call, scene.model, SimpleNamespace(sent=False))  # type: ignore[arg-type]
+    assert looks <= MAX_UNREACHABLE + 1
     assert all(server.in_flight == 0 and server.cached == 0 for server in scene.fleet.of(SERVICE))
 
 
@@ -368,7 +368,7 @@
         scene.at += 0.3
         return RerouteOutcome(True)
 
-    scene.peers.control = SimpleNamespace(reroute=reroute)
+    scene.context.control = SimpleNamespace(reroute=reroute)
     scene.run.avoided = frozenset({scene.run.path.servers[1].facts.id})
-    assert runs._move(scene.peers, scene.call, scene.model, scene.run, "dead")
+    assert runs._move(scene.context, scene.call, scene.model, scene.run, "dead")
     assert scene.run.on_path_at <= moved_at
--- a/tests/test_taken_keys.py
+++ b/tests/test_taken_keys.py
@@ -74,7 +74,7 @@
     call.endpoint = SimpleNamespace(max_attempts=2, repeatable=True)
     connection: Any = SimpleNamespace(answer=lambda status, headers, body: told.append(status))
     try:
-        wholes.relay_whole(scene.peers, call, connection)
+        wholes.relay_whole(scene.context, call, connection)
     except BaygladeError as error:
         return told, error
     finally:
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -136,7 +136,7 @@
             daemon.quarantine.server_ended(start(number))
         path = [server for server in daemon.fleet.of(SERVICE) if server.facts.held][:4]
         probes = Probes(daemon, {path[2].facts.id}, {path[3].facts.id})
-        daemon.peers.links = probes
+        daemon.peers.pool = probes
         examined: list[Server] = []
         daemon.peers.diagnosis = SimpleNamespace(examine_anew=examined.extend)
         since = now()
--- a/tests/test_wholes.py
+++ b/tests/test_wholes.py
@@ -38,7 +38,7 @@
         self.fleet.take(rows, [], outage=False)
         self.servers = list(self.fleet.servers.values())
         self.running: list[tuple[float, Server]] = []
-        self.peers: Any = SimpleNamespace(
+        self.context: Any = SimpleNamespace(
             fleet=self.fleet,
             rng=self.rng,
             paths=SimpleNamespace(hall=HallName("hall")),
@@ -54,13 +54,13 @@
             self.at += self.rng.expovariate(CALLS_PER_SECOND)
             self.end_calls()
             came += 1
-            attempts: Any = SimpleNamespace(tried=set(), only=lambda: None)
-            server = _least_busy(self.peers, self.call, attempts)
+            attempts: Any = SimpleNamespace(tried=set(), allowed_servers=lambda: None)
+            server = _least_busy(self.context, self.call, attempts)
             assert server is not None
             got += server is self.servers[0]
             if server is sheds and self.rng.random() < SHED_PART:
                 lost += 1
-                _note_failure(self.peers, self.call, server, BackendRefused("full", step="answer"))
+                _note_failure(self.context, self.call, server, BackendRefused("full", step="answer"))
                 continue
             server.in_flight += 1
             self.running.append((self.at + CALL_SECONDS, server))
