--- a/bayglade/calls.py
+++ b/bayglade/calls.py
@@ -18,14 +18,14 @@
     id: RequestId
     host: str
     key: str | None = None
-    seconds: float | None = None
+    timeout_seconds: float | None = None
     """How long the caller waits."""
 
     prompt_tokens: int = 0
-    answer_tokens: int = 0
+    max_answer_tokens: int = 0
     """Tokens that the answer has at most."""
 
-    answer_hint: int | None = None
+    expected_answer_tokens: int | None = None
     """Tokens that the caller expects; right in the median, and often far off."""
 
     last_event: int | None = None
@@ -53,7 +53,7 @@
         return f"<Call {self.head.id} to {self.service}>"
 
     @property
-    def once(self) -> bool:
+    def at_most_once(self) -> bool:
         """Tell whether it may run at most once."""
         return not self.endpoint.repeatable and not self.endpoint.resumable
 
@@ -71,8 +71,10 @@
     head = call.head
     if not head.prompt_tokens:
         return pipeline.usual()
-    expected = head.answer_hint if head.answer_hint is not None else pipeline.typical_answer
-    return Demand(float(head.prompt_tokens), float(min(head.answer_tokens, expected)))
+    expected = (
+        head.expected_answer_tokens if head.expected_answer_tokens is not None else pipeline.typical_answer
+    )
+    return Demand(float(head.prompt_tokens), float(min(head.max_answer_tokens, expected)))
 
 
 class Sending(msgspec.Struct, frozen=True, kw_only=True):
@@ -88,19 +90,19 @@
     """What the head of a backend server's answer says."""
 
     request: str | None
-    genuine: bool
+    authentic: bool
     """Whether the server vouches for it as its own answer to a request that it ran."""
 
     not_run: bool
     """Whether the server says that it did not run the request."""
 
-    instance: str | None = None
+    instance_id: str | None = None
     """The server's own id, where it says it."""
 
     at_fault: str | None = None
     """Address of the stage that did not take part."""
 
-    keep_seconds: float | None = None
+    keep_alive_seconds: float | None = None
     """How long the server keeps the connection."""
 
     leaving: bool = False
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -51,7 +51,7 @@
 from bayglade.upstream import ConnectionPool
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
-from bayglade.wholes import relay_whole
+from bayglade.wholes import relay_buffered
 
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
@@ -302,7 +302,7 @@
         if service is not None and service.pipeline is not None:
             relay_stream(self.peers, call, service.pipeline, connection)
         else:
-            relay_whole(self.peers, call, connection)
+            relay_buffered(self.peers, call, connection)
 
     def _fail(
         self, connection: Connection, error: BaygladeError, request: RequestId, started: float
--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -142,7 +142,11 @@
             if self.age() > STALE_OF_TRUST * self.key_trust:
                 raise self._cut_off("the settings known here are old") from error
             raise
-        seconds = endpoint.timeout if head.seconds is None else min(head.seconds, endpoint.timeout)
+        seconds = (
+            endpoint.timeout
+            if head.timeout_seconds is None
+            else min(head.timeout_seconds, endpoint.timeout)
+        )
         call = Call(
             head=head,
             endpoint=endpoint,
--- a/bayglade/platform/calls.py
+++ b/bayglade/platform/calls.py
@@ -82,10 +82,10 @@
             id=RequestId(request),
             host=host,
             key=found.get(KEY.lower()),
-            seconds=None if deadline is None else float(deadline) / 1000,
+            timeout_seconds=None if deadline is None else float(deadline) / 1000,
             prompt_tokens=prompt,
-            answer_tokens=answer,
-            answer_hint=_hint(found.get(ANSWER_HINT.lower())),
+            max_answer_tokens=answer,
+            expected_answer_tokens=_hint(found.get(ANSWER_HINT.lower())),
             last_event=_event_id(found.get(LAST_EVENT.lower())),
         )
     except ValueError as error:
@@ -134,11 +134,11 @@
         _note_unknown(name, found[name])
     return AnswerHead(
         request=found.get(REQUEST_ID.lower()),
-        genuine=SEAL in found,
+        authentic=SEAL in found,
         not_run=NOT_RUN in found or message.status == 421,
-        instance=found.get(ANSWERING),
+        instance_id=found.get(ANSWERING),
         at_fault=found.get(AT_FAULT),
-        keep_seconds=_keep_seconds(found.get("keep-alive")),
+        keep_alive_seconds=_keep_seconds(found.get("keep-alive")),
         leaving=found.get(LEAVING) == "1",
         rest_seconds=_rest_seconds(found.get(REST)) if message.status in REST_STATUSES else None,
         rate_limit=_rate_limit(found.get(RATE_LIMIT)),
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -217,7 +217,7 @@
         if error.outcome is Outcome.NOT_RUN:
             return True
         self.may_have_run = True
-        return not self.call.once
+        return not self.call.at_most_once
 
     def final_error(self, rng: random.Random) -> BaygladeError:
         """Return what the caller is told when no attempt brought an answer.
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -313,7 +313,7 @@
 
 def _can_resend(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> bool:
     """Tell whether a call may be sent anew, and has a place elsewhere."""
-    if call.once or not run.attempts.can_retry(context):
+    if call.at_most_once or not run.attempts.can_retry(context):
         return False
     silent = frozenset(s.facts.id for s in run.path.servers if s.suspect)
     avoided = silent | {run.path.servers[0].facts.id}
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -41,7 +41,7 @@
     facts = server.facts
     check_may_send(context, call, server)
     context.quarantine.sent(call, facts.id)
-    max_idle = MAX_IDLE_AT_MOST_ONCE if call.once else DEFAULT_IDLE_SECONDS
+    max_idle = MAX_IDLE_AT_MOST_ONCE if call.at_most_once else DEFAULT_IDLE_SECONDS
     exchange = open_exchange(context.pool, facts.id, facts.address, max_idle)
     try:
         sending = Sending(
@@ -117,7 +117,7 @@
 
     message = exchange.read_head(until, is_own)
     head = context.dialect.read_answer(message)
-    misdirected = head.instance is not None and head.instance != exchange.backend
+    misdirected = head.instance_id is not None and head.instance_id != exchange.backend
     if not misdirected:
         apply_server_notices(context, server, head, exchange.sent_at)
     if head.not_run:
@@ -129,7 +129,7 @@
             at_fault=head.at_fault,
             rest_seconds=head.rest_seconds,
         )
-    if not head.genuine or head.request is None:
+    if not head.authentic or head.request is None:
         raise BackendError("an answer that is not the server's own", step="answer", peer=exchange.backend)
     return message, head
 
@@ -145,6 +145,6 @@
         context.fleet.said_leaving(server, "its answer")
     if head.rest_seconds is not None:
         context.fleet.rest(server, head.rest_seconds)
-    if head.rate_limit is not None or head.genuine:
+    if head.rate_limit is not None or head.authentic:
         # Only what the server vouches for shows that it names no limit any more.
         context.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -35,15 +35,15 @@
 from bayglade.trials import ended_stages, heads_to_avoid
 from bayglade.upstream import Exchange
 
-WAIT_SECONDS = 1.5
+MAX_WAIT_SECONDS = 1.5
 """How long a call waits for room: callers of a stream leave after two seconds without an event."""
-SHORT_SECONDS = 0.25
+FULL_STAGE_SECONDS = 0.25
 """How long a stage that turned a request away counts as full: a request ends there every few
 hundredths of a second, and the next one that is turned away says so again."""
-RESEND_SECONDS = 0.25
+RETRY_INTERVAL_SECONDS = 0.25
 """Time between tries of a stream that has begun, once it was tried as often as a call that has not, or
 while there is no repeat that it may use."""
-GLANCE_SECONDS = 0.04
+STALL_POLL_SECONDS = 0.04
 """How long a stream waits before it looks whether a stage of its path is known to be dead by now: a
 little more than the usual time between events."""
 LAST_CHUNK = b"0\r\n\r\n"
@@ -52,20 +52,20 @@
 class Delivery:
     """What the caller has of a stream."""
 
-    __slots__ = ("begun", "connection", "first_seconds", "last_event", "longest_gap", "sent_at")
+    __slots__ = ("begun", "connection", "first_event_seconds", "last_event", "last_sent_at", "longest_gap")
 
     def __init__(self, connection: Connection, last_event: int | None) -> None:
         self.connection = connection
         self.begun = False
-        self.sent_at = now()
-        self.first_seconds: float | None = None
+        self.last_sent_at = now()
+        self.first_event_seconds: float | None = None
         self.longest_gap = 0.0
         self.last_event = last_event
 
     def __repr__(self) -> str:
         return f"<Delivery begun={self.begun} last_event={self.last_event}>"
 
-    def begin(self, message: Message) -> bytes:
+    def start_answer(self, message: Message) -> bytes:
         """Return the head of the answer, once; a later run goes on under it."""
         if self.begun:
             return b""
@@ -84,21 +84,21 @@
                 self.last_event = number
             fresh.append(item)
         if fresh:
-            self._note_time()
+            self._record_gap()
             data = b"".join(fresh)
-            self.connection.send(self.begin(message) + b"%x\r\n%b\r\n" % (len(data), data))
+            self.connection.send(self.start_answer(message) + b"%x\r\n%b\r\n" % (len(data), data))
 
-    def _note_time(self) -> None:
+    def _record_gap(self) -> None:
         at = now()
-        if self.first_seconds is None:
-            self.first_seconds = at - self.sent_at
+        if self.first_event_seconds is None:
+            self.first_event_seconds = at - self.last_sent_at
         else:
-            self.longest_gap = max(self.longest_gap, at - self.sent_at)
-        self.sent_at = at
+            self.longest_gap = max(self.longest_gap, at - self.last_sent_at)
+        self.last_sent_at = at
 
-    def end(self, message: Message) -> None:
+    def finish(self, message: Message) -> None:
         """Send the end of a whole answer."""
-        self.connection.send(self.begin(message) + LAST_CHUNK)
+        self.connection.send(self.start_answer(message) + LAST_CHUNK)
 
 
 def relay_stream(context: RelayContext, call: Call, pipeline: Pipeline, connection: Connection) -> None:
@@ -116,10 +116,10 @@
     context.retry_budget(call.service).note_request()
     context.wait_queues.charge(call)
     avoided: frozenset[BackendId] = frozenset()
-    while attempts.can_continue(_endures(context, delivery)):
-        if _endures(context, delivery) and not _await_repeat(context, call, attempts):
+    while attempts.can_continue(_kept_until_deadline(context, delivery)):
+        if _kept_until_deadline(context, delivery) and not _await_retry(context, call, attempts):
             break
-        path = _find_place(context, call, pipeline, attempts, delivery, avoided)
+        path = _reserve_path(context, call, pipeline, attempts, delivery, avoided)
         if path is None:
             # Servers that failed may do by now; dead ones are left out by the fleet.
             if not avoided or attempts.seconds_until_room is not None:
@@ -134,22 +134,22 @@
             continue
         run = Run(path, attempts)
         try:
-            if not attempts.acquire_send(context, _endures(context, delivery)):
-                if attempts.stop_error is None and _endures(context, delivery):
+            if not attempts.acquire_send(context, _kept_until_deadline(context, delivery)):
+                if attempts.stop_error is None and _kept_until_deadline(context, delivery):
                     continue
                 break
             _attempt(context, call, pipeline, run, delivery, attempts)
-            _note_answer(context, call, delivery, attempts)
+            _record_answer(context, call, delivery, attempts)
             return
         except BackendError as error:
-            avoided |= _note_failure(context, call, run, error)
+            avoided |= _record_failure(context, call, run, error)
             if not attempts.note_failure(error):
                 break
         except (CutOff, Unauthenticated):
             # Both say that the call has not run, which is no longer sure of one that was sent.
             if not attempts.may_have_run:
                 raise
-            if not _endures(context, delivery):
+            if not _kept_until_deadline(context, delivery):
                 break
         finally:
             run.path.release()
@@ -158,7 +158,7 @@
     raise attempts.final_error(context.rng)
 
 
-def _endures(context: RelayContext, delivery: Delivery) -> bool:
+def _kept_until_deadline(context: RelayContext, delivery: Delivery) -> bool:
     """Tell whether a stream is kept for as long as its time lasts.
 
     A call that has got nothing is best refused early: its caller may ask elsewhere. Of a stream that has
@@ -168,26 +168,26 @@
     return delivery.begun and Mechanism.BEGUN_WAIT not in context.without
 
 
-def _await_repeat(context: RelayContext, call: Call, attempts: Attempts) -> bool:
+def _await_retry(context: RelayContext, call: Call, attempts: Attempts) -> bool:
     """Wait until a stream that has begun may be sent once more, before it takes a place from others.
 
     :return: false when its time is over, or it must not be sent any more.
     """
     if attempts.exhausted():
         _pause(call)
-    told = False
+    logged = False
     while call.seconds_left() > 0 and not attempts.check_stopped(context):
         spent = not attempts.has_retry_budget(context)
-        if not spent and _trusted(context, call):
+        if not spent and _is_authorized(context, call):
             return True
-        if spent and not told:
+        if spent and not logged:
             attempts.log_budget_spent(context)
-            told = True
+            logged = True
         _pause(call)
     return False
 
 
-def _trusted(context: RelayContext, call: Call) -> bool:
+def _is_authorized(context: RelayContext, call: Call) -> bool:
     """Tell whether what is known of keys is fresh enough to send a call.
 
     :raises Unauthenticated: when its key was taken away.
@@ -200,10 +200,10 @@
 
 
 def _pause(call: Call) -> None:
-    eventlet.sleep(max(0.0, min(RESEND_SECONDS, call.seconds_left())))
+    eventlet.sleep(max(0.0, min(RETRY_INTERVAL_SECONDS, call.seconds_left())))
 
 
-def _find_place(
+def _reserve_path(
     context: RelayContext,
     call: Call,
     pipeline: Pipeline,
@@ -235,20 +235,22 @@
         path = seek()
         if path is not None:
             return path
-    if _endures(context, delivery):
-        return _await_place(context, call, attempts, seek_without, avoided)
-    heads = attempts.allowed_servers()
-    rest = context.paths.seconds_until_covered(call.service, pipeline, avoided, heads)
-    if rest is None and not (attempts.may_have_run and Mechanism.BEGUN_WAIT not in context.without):
+    if _kept_until_deadline(context, delivery):
+        return _await_path(context, call, attempts, seek_without, avoided)
+    first_stages = attempts.allowed_servers()
+    covered_in = context.paths.seconds_until_covered(call.service, pipeline, avoided, first_stages)
+    if covered_in is None and not (attempts.may_have_run and Mechanism.BEGUN_WAIT not in context.without):
         return None
-    since = delivery.sent_at if delivery.begun else call.arrived
-    until = min(call.deadline, since + WAIT_SECONDS)
+    since = delivery.last_sent_at if delivery.begun else call.arrived
+    until = min(call.deadline, since + MAX_WAIT_SECONDS)
     # What may have run cannot be refused as not run: it waits for layers that are being loaded as well.
     expected = max(
-        rest or 0.0, context.wait_queues.expected_wait(call.service), _limited_seconds(context, call)
+        covered_in or 0.0, context.wait_queues.expected_wait(call.service), _rate_limit_wait(context, call)
     )
     if now() + expected <= until and Mechanism.WAITING not in context.without:
-        path = context.wait_queues.wait(call, seek, until, restricted=bool(avoided) or heads is not None)
+        path = context.wait_queues.wait(
+            call, seek, until, restricted=bool(avoided) or first_stages is not None
+        )
         if path is not None:
             return path
     attempts.seconds_until_room = expected
@@ -260,18 +262,18 @@
     return None
 
 
-def _limited_seconds(context: RelayContext, call: Call) -> float:
+def _rate_limit_wait(context: RelayContext, call: Call) -> float:
     """Return how long a new stream waits where all first stages name limits; zero where one does not."""
-    heads = [s for s in context.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
+    first_stages = [s for s in context.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
     ahead = context.wait_queues.count_ahead(call.service)
-    return context.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
+    return context.fleet.rate_limits.expected_wait(first_stages, ahead) or 0.0
 
 
-def _await_place(
+def _await_path(
     context: RelayContext,
     call: Call,
     attempts: Attempts,
-    seek_without: Callable[[frozenset[BackendId]], Path | None],
+    reserve_without: Callable[[frozenset[BackendId]], Path | None],
     avoided: frozenset[BackendId],
 ) -> Path | None:
     """Wait for a place for a stream that has begun, until its time is over.
@@ -283,11 +285,16 @@
     since = now()
 
     def seek() -> Path | None:
-        return seek_without(avoided if now() < since + RESEND_SECONDS else frozenset())
+        return reserve_without(avoided if now() < since + RETRY_INTERVAL_SECONDS else frozenset())
 
-    choosy = bool(avoided) or attempts.allowed_servers() is not None
+    restricted = bool(avoided) or attempts.allowed_servers() is not None
     path = context.wait_queues.wait(
-        call, seek, call.deadline, choosy, begun=True, should_give_up=lambda: context.quarantine.holds(call)
+        call,
+        seek,
+        call.deadline,
+        restricted,
+        begun=True,
+        should_give_up=lambda: context.quarantine.holds(call),
     )
     event(
         "INFO",
@@ -300,10 +307,10 @@
     return path
 
 
-def _note_answer(context: RelayContext, call: Call, delivery: Delivery, attempts: Attempts) -> None:
+def _record_answer(context: RelayContext, call: Call, delivery: Delivery, attempts: Attempts) -> None:
     context.quarantine.answered(call)
-    if delivery.first_seconds is not None:
-        context.metrics.observe("first_event_seconds", delivery.first_seconds)
+    if delivery.first_event_seconds is not None:
+        context.metrics.observe("first_event_seconds", delivery.first_event_seconds)
         context.metrics.observe("longest_gap_seconds", delivery.longest_gap)
     event(
         "INFO",
@@ -311,7 +318,7 @@
         request=call.head.id,
         sent=attempts.send_count,
         last=delivery.last_event,
-        first=round(delivery.first_seconds or 0.0, 3),
+        first=round(delivery.first_event_seconds or 0.0, 3),
         gap=round(delivery.longest_gap, 3),
     )
 
@@ -328,10 +335,10 @@
     try:
         message, answer = _await_head(context, call, pipeline, run)
         if message.status != 200:
-            _pass_on(call, exchange, message, delivery)
+            _forward_error(call, exchange, message, delivery)
         else:
-            _pass_events(context, call, pipeline, run, message, delivery)
-        keep_seconds = answer.keep_seconds
+            _forward_events(context, call, pipeline, run, message, delivery)
+        keep_seconds = answer.keep_alive_seconds
     finally:
         run.was_read()
         exchange.close(keep_seconds)
@@ -345,31 +352,31 @@
     since = now()
     head = run.path.servers[0]
     while True:
-        patience = context.stall_timeouts.first(call.endpoint.aim)
+        timeout = context.stall_timeouts.first_event_timeout(call.endpoint.aim)
         try:
-            return read_answer_head(context, call, head, run.exchange, _glance_until(call, since, patience))
+            return read_answer_head(context, call, head, run.exchange, _next_poll_at(call, since, timeout))
         except BackendSilent:
-            if run.on_dead_stage() or _waited(call, since, patience):
-                look_into(context, call, pipeline, run, patience)
+            if run.on_dead_stage() or _stalled(call, since, timeout):
+                look_into(context, call, pipeline, run, timeout)
                 since = now()
 
 
-def _glance_until(call: Call, since: float, patience: float) -> float:
+def _next_poll_at(call: Call, since: float, timeout: float) -> float:
     """Return until when to wait before looking whether there is a reason to look into a stream.
 
     :param since: since when it stands still, or was looked into last.
     :param patience: seconds for which it may stand still.
     """
-    return min(call.deadline, since + patience, now() + GLANCE_SECONDS)
+    return min(call.deadline, since + timeout, now() + STALL_POLL_SECONDS)
 
 
-def _waited(call: Call, since: float, patience: float) -> bool:
+def _stalled(call: Call, since: float, timeout: float) -> bool:
     """Tell whether a stream stood still for all of the patience, or its time is over."""
     at = now()
-    return at >= since + patience or at >= call.deadline
+    return at >= since + timeout or at >= call.deadline
 
 
-def _pass_on(call: Call, exchange: Exchange, message: Message, delivery: Delivery) -> None:
+def _forward_error(call: Call, exchange: Exchange, message: Message, delivery: Delivery) -> None:
     """Pass on a failure that the server vouches for, as a whole answer."""
     pieces = []
     while (piece := exchange.read_piece(call.deadline)) is not None:
@@ -379,39 +386,41 @@
     delivery.connection.answer(message.status, end_to_end(message.headers), b"".join(pieces))
 
 
-def _pass_events(
+def _forward_events(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, message: Message, delivery: Delivery
 ) -> None:
     splitter = EventSplitter()
     since = now()
     while True:
         if delivery.begun:
-            patience = context.stall_timeouts.gap(call.endpoint.gap_aim)
+            timeout = context.stall_timeouts.gap_timeout(call.endpoint.gap_aim)
         else:
-            patience = context.stall_timeouts.first(call.endpoint.aim)
+            timeout = context.stall_timeouts.first_event_timeout(call.endpoint.aim)
         try:
-            piece = run.exchange.read_piece(_glance_until(call, since, patience))
+            piece = run.exchange.read_piece(_next_poll_at(call, since, timeout))
         except BackendSilent:
-            if run.on_dead_stage() or _waited(call, since, patience):
-                look_into(context, call, pipeline, run, patience)
+            if run.on_dead_stage() or _stalled(call, since, timeout):
+                look_into(context, call, pipeline, run, timeout)
                 since = now()
             continue
         if piece is None:
             break
         since = now()
-        context.stall_timeouts.note(now() - run.event_at, run.begun)
+        context.stall_timeouts.record(now() - run.event_at, run.begun)
         run.moved_on()
         delivery.deliver(message, splitter.feed(piece))
         leave_planned(context, call, pipeline, run)
     if splitter.rest:
         raise BackendError("the stream ended inside an event", step="stream", peer=run.exchange.backend)
-    delivery.end(message)
+    delivery.finish(message)
 
 
-def _note_failure(context: RelayContext, call: Call, run: Run, error: BackendError) -> frozenset[BackendId]:
+def _record_failure(
+    context: RelayContext, call: Call, run: Run, error: BackendError
+) -> frozenset[BackendId]:
     """Judge the servers of a failed attempt; return those to avoid now."""
     path, head = run.path, run.path.servers[0]
-    server = _at_fault(path, error.at_fault) if isinstance(error, BackendRefused) else head
+    server = _server_at_fault(path, error.at_fault) if isinstance(error, BackendRefused) else head
     event(
         "INFO",
         "attempt failed",
@@ -427,7 +436,7 @@
         if error.misdirected:
             context.fleet.mark_leaving(head, "another server has its address")
             return frozenset({server.facts.id})
-        server.short_until = now() + SHORT_SECONDS
+        server.short_until = now() + FULL_STAGE_SECONDS
         if server is not head:
             if error.rest_seconds is not None:
                 context.fleet.rest(server, error.rest_seconds)
@@ -447,7 +456,7 @@
     return frozenset(dead) or frozenset({head.facts.id})
 
 
-def _at_fault(path: Path, address: str | None) -> Server:
+def _server_at_fault(path: Path, address: str | None) -> Server:
     for server in path.servers:
         if server.facts.address == address:
             return server
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -208,4 +208,4 @@
 
 def token_cost(call: Call) -> float:
     """Return the tokens that a call may take; at least one."""
-    return max(1.0, float(call.head.prompt_tokens + call.head.answer_tokens))
+    return max(1.0, float(call.head.prompt_tokens + call.head.max_answer_tokens))
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -22,15 +22,15 @@
 from bayglade.servers import Server
 from bayglade.trials import wait_apart
 
-PATIENCE_OF_AIM = 0.6
+ANSWER_TIMEOUT_FRACTION = 0.6
 """Part of the aim after which a repeatable call is tried at another server."""
-WAIT_SECONDS = 1.5
+MAX_WAIT_SECONDS = 1.5
 """How long a call waits for a server that names a limit."""
-AWAY_COST = 0.5
+REMOTE_HALL_PENALTY = 0.5
 """A server of another hall counts as this much busier, as its answer takes longer."""
 
 
-class Answer:
+class BufferedAnswer:
     """A whole answer of a server."""
 
     __slots__ = ("content", "headers", "status")
@@ -44,7 +44,7 @@
         return f"<Answer {self.status} {len(self.content)} bytes>"
 
 
-def relay_whole(context: RelayContext, call: Call, connection: Connection) -> None:
+def relay_buffered(context: RelayContext, call: Call, connection: Connection) -> None:
     """Serve a call to a plain service.
 
     :param peers: what the relay works with.
@@ -54,16 +54,16 @@
     """
     attempts = Attempts(call)
     context.retry_budget(call.service).note_request()
-    answer: Answer | None = None
+    answer: BufferedAnswer | None = None
     while attempts.acquire_send(context):
-        place = _find_place(context, call, attempts)
+        place = _reserve_server(context, call, attempts)
         if place is None:
             break
         server = place.servers[0]
         try:
             answer = _attempt(context, call, place, attempts)
         except BackendError as error:
-            _note_failure(context, call, server, error)
+            _record_failure(context, call, server, error)
             if not attempts.note_failure(error):
                 break
             await_crash_reports(context, call)
@@ -84,7 +84,7 @@
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.send_count)
 
 
-def _find_place(context: RelayContext, call: Call, attempts: Attempts) -> Place | None:
+def _reserve_server(context: RelayContext, call: Call, attempts: Attempts) -> Place | None:
     """Choose a server, or wait until one that names a limit takes another request.
 
     :return: the place there, taken; nothing when there is none in time.
@@ -113,7 +113,7 @@
         attempts.seconds_until_room = context.fleet.opens_in(call.service)
         return None
     # Later it could not be answered before its deadline.
-    until = min(call.deadline - call.endpoint.aim, call.arrived + WAIT_SECONDS)
+    until = min(call.deadline - call.endpoint.aim, call.arrived + MAX_WAIT_SECONDS)
     if now() + expected <= until and any(server.throttle is not None for server in servers):
         place = context.wait_queues.wait(call, seek, until, restricted=bool(attempts.tried))
         if place is not None:
@@ -124,7 +124,7 @@
     return None
 
 
-def _attempt(context: RelayContext, call: Call, place: Place, attempts: Attempts) -> Answer:
+def _attempt(context: RelayContext, call: Call, place: Place, attempts: Attempts) -> BufferedAnswer:
     server = place.servers[0]
     attempts.tried.add(server.facts.id)
     server.in_flight += 1
@@ -133,12 +133,12 @@
         exchange = send(context, call, server, None, None, place)
         attempts.note_sent(server)
         try:
-            until = _patience(context, call, attempts)
+            until = _answer_timeout_at(context, call, attempts)
             message, head = read_answer_head(context, call, server, exchange, until)
             pieces = []
             while (piece := exchange.read_piece(call.deadline)) is not None:
                 pieces.append(piece)
-            keep_seconds = head.keep_seconds
+            keep_seconds = head.keep_alive_seconds
         finally:
             exchange.close(keep_seconds)
     finally:
@@ -146,16 +146,16 @@
         place.release()
     if message.status < 500:
         context.fleet.succeeded(server)
-    return Answer(message, b"".join(pieces))
+    return BufferedAnswer(message, b"".join(pieces))
 
 
-def _patience(context: RelayContext, call: Call, attempts: Attempts) -> float:
+def _answer_timeout_at(context: RelayContext, call: Call, attempts: Attempts) -> float:
     """Return until when to wait for the head of an answer."""
     endpoint = call.endpoint
     others = [s for s in context.fleet.usable(call.service) if s.facts.id not in attempts.tried]
     if not endpoint.repeatable or not others or len(attempts.used_servers) >= endpoint.max_attempts:
         return call.deadline
-    return min(call.deadline, now() + PATIENCE_OF_AIM * endpoint.aim)
+    return min(call.deadline, now() + ANSWER_TIMEOUT_FRACTION * endpoint.aim)
 
 
 def _least_busy(context: RelayContext, call: Call, attempts: Attempts) -> Server | None:
@@ -173,7 +173,7 @@
         fitting,
         key=lambda s: (
             s.in_flight / max(1, s.facts.slots)
-            + (AWAY_COST if s.facts.hall != own else 0.0)
+            + (REMOTE_HALL_PENALTY if s.facts.hall != own else 0.0)
             + s.failures
             + s.refusals.read(at),
             context.rng.random(),
@@ -181,7 +181,7 @@
     )
 
 
-def _note_failure(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
+def _record_failure(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
     event(
         "INFO",
         "attempt failed",
@@ -199,11 +199,11 @@
     if isinstance(error, BackendUnwilling):
         return
     if not isinstance(error, BackendUnreachable):
-        _note_break(context, call, server, error)
+        _record_possible_crash(context, call, server, error)
     context.fleet.suspect(server, error.code)
 
 
-def _note_break(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
+def _record_possible_crash(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
     """Note that a server may have ended while it ran a call, and look whether it has."""
     context.quarantine.broke_off(call, server.facts.key, None)
     if not isinstance(error, BackendSilent):
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -57,9 +57,9 @@
     """A daemon with servers and a line, and one stream whose attempts end as the test says."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(streams, "WAIT_SECONDS", WAIT)
+        monkeypatch.setattr(streams, "MAX_WAIT_SECONDS", WAIT)
         monkeypatch.setattr(streams, "_attempt", self._attempt)
-        monkeypatch.setattr(streams, "_note_answer", lambda *_: None)
+        monkeypatch.setattr(streams, "_record_answer", lambda *_: None)
         self.model = pipeline()
         self.fleet = Fleet()
         held = placed(servers(a={"big": 1, "middle": 5, "small": 8}), self.model)
@@ -97,7 +97,7 @@
     def begin(self) -> None:
         """Have the caller get the first event."""
         self.delivery.begun = True
-        self.delivery.sent_at = now()
+        self.delivery.last_sent_at = now()
 
     def break_off(self) -> None:
         """End an attempt of a stream that has begun, in the middle."""
@@ -134,11 +134,11 @@
             method="POST",
             target=b"/x",
             body=b"prompt",
-            once=False,
+            at_most_once=False,
             arrived=at,
             deadline=at + seconds,
         )
-        call.head = CallHead(id=RequestId("r"), host="h", prompt_tokens=700, answer_tokens=100)
+        call.head = CallHead(id=RequestId("r"), host="h", prompt_tokens=700, max_answer_tokens=100)
         call.seconds_left = lambda: call.deadline - now()
         return call
 
@@ -233,8 +233,8 @@
 def test_a_begun_stream_is_not_ended_by_how_often_it_was_turned_away(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(streams, "SHORT_SECONDS", 0.01)
-    monkeypatch.setattr(streams, "RESEND_SECONDS", 0.02, raising=False)
+    monkeypatch.setattr(streams, "FULL_STAGE_SECONDS", 0.01)
+    monkeypatch.setattr(streams, "RETRY_INTERVAL_SECONDS", 0.02, raising=False)
     refusals = MAX_SENDS + 2
     task = scene.start(scene.break_off, *[scene.refuse] * refusals)
     assert served(scene, task)
@@ -244,19 +244,19 @@
 def test_a_begun_stream_that_is_turned_away_again_and_again_pauses(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(streams, "SHORT_SECONDS", 0.0)
+    monkeypatch.setattr(streams, "FULL_STAGE_SECONDS", 0.0)
     task = scene.start(scene.break_off, *[scene.refuse] * 1000, seconds=1.0)
     with eventlet.Timeout(5.0):
         task.wait()
     assert isinstance(scene.error, DeadlinePassed)
-    assert scene.attempts <= MAX_SENDS + 1.0 / streams.RESEND_SECONDS + 1
+    assert scene.attempts <= MAX_SENDS + 1.0 / streams.RETRY_INTERVAL_SECONDS + 1
     assert scene.at_rest()
 
 
 def test_a_begun_stream_is_not_ended_by_stages_that_turn_out_to_have_ended(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(streams, "RESEND_SECONDS", 0.02, raising=False)
+    monkeypatch.setattr(streams, "RETRY_INTERVAL_SECONDS", 0.02, raising=False)
     looks = 0
 
     def ended(context: Any, call: Any, stages: Any) -> frozenset[Any]:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -102,8 +102,8 @@
             last_event_id="7",
         )
     )
-    assert (head.id, head.key, head.seconds) == ("r", "k", 1.5)
-    assert (head.prompt_tokens, head.answer_tokens, head.last_event) == (800, 160, 7)
+    assert (head.id, head.key, head.timeout_seconds) == ("r", "k", 1.5)
+    assert (head.prompt_tokens, head.max_answer_tokens, head.last_event) == (800, 160, 7)
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,7 @@
     answer = message(**headers)
     answer.status = status
     head = read_answer(answer)
-    assert (head.not_run, head.genuine) == (not_run, genuine)
+    assert (head.not_run, head.authentic) == (not_run, genuine)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize("instance", [None, ID])
 def test_a_refusal_says_how_long_to_wait(clock: Clock, instance: str | None) -> None:
     fleet, server = listed()
-    head = AnswerHead(request="q", genuine=False, not_run=True, instance=instance, rest_seconds=REST)
+    head = AnswerHead(request="q", authentic=False, not_run=True, instance_id=instance, rest_seconds=REST)
     with pytest.raises(BackendRefused) as raised:
         answered(head, 503, fleet, server)
     assert raised.value.rest_seconds == REST
@@ -212,7 +212,7 @@
 def test_an_answer_of_another_server_says_nothing_of_this_one(clock: Clock) -> None:
     fleet, server = listed()
     head = AnswerHead(
-        request="q", genuine=False, not_run=True, instance="other", leaving=True, rest_seconds=REST
+        request="q", authentic=False, not_run=True, instance_id="other", leaving=True, rest_seconds=REST
     )
     with pytest.raises(BackendRefused):
         answered(head, 421, fleet, server)
@@ -221,7 +221,7 @@
 
 def test_any_whole_answer_may_say_that_the_server_leaves(clock: Clock) -> None:
     fleet, server = listed()
-    answered(AnswerHead(request="q", genuine=True, not_run=False, leaving=True), 200, fleet, server)
+    answered(AnswerHead(request="q", authentic=True, not_run=False, leaving=True), 200, fleet, server)
     assert server.leaving
     with pytest.raises(BackendUnwilling):
         check_may_send(SimpleNamespace(check_authorization=lambda call: None), a_call(2), server)  # type: ignore[arg-type]
--- a/tests/test_stall_timeouts.py
+++ b/tests/test_stall_timeouts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayglade.stall_timeouts import FIRST_OF_AIM, GAP_OF_AIM, LEAST_TIMEOUT, StallTimeouts
+from bayglade.stall_timeouts import FIRST_EVENT_FRACTIONS, GAP_FRACTIONS, MIN_TIMEOUT, StallTimeouts
 
 AIM = 0.5
 GAP = 0.2
@@ -14,34 +14,38 @@
     patience = StallTimeouts(learns)
     rng = random.Random(1)
     for _ in range(2000):
-        patience.note(rng.uniform(0.8, 1.2) * mean, begun)
+        patience.record(rng.uniform(0.8, 1.2) * mean, begun)
     return patience
 
 
 def test_quick_streams_leave_the_least_patience() -> None:
-    assert learned(0.02, begun=True).gap(GAP) == max(LEAST_TIMEOUT, GAP_OF_AIM[0] * GAP)
-    assert learned(0.02, begun=False).first(AIM) == FIRST_OF_AIM[0] * AIM
+    assert learned(0.02, begun=True).gap_timeout(GAP) == max(MIN_TIMEOUT, GAP_FRACTIONS[0] * GAP)
+    assert learned(0.02, begun=False).first_event_timeout(AIM) == FIRST_EVENT_FRACTIONS[0] * AIM
 
 
 def test_slow_streams_leave_the_most_patience() -> None:
-    assert learned(0.4, begun=True).gap(GAP) == pytest.approx(GAP_OF_AIM[1] * GAP)
-    assert learned(0.9, begun=False).first(AIM) == pytest.approx(FIRST_OF_AIM[1] * AIM)
+    assert learned(0.4, begun=True).gap_timeout(GAP) == pytest.approx(GAP_FRACTIONS[1] * GAP)
+    assert learned(0.9, begun=False).first_event_timeout(AIM) == pytest.approx(
+        FIRST_EVENT_FRACTIONS[1] * AIM
+    )
 
 
 def test_in_between_nearly_no_usual_stream_is_looked_into() -> None:
     mean = 0.08
-    patience = learned(mean, begun=True).gap(GAP)
-    assert 1.2 * mean < patience < GAP_OF_AIM[1] * GAP
+    patience = learned(mean, begun=True).gap_timeout(GAP)
+    assert 1.2 * mean < patience < GAP_FRACTIONS[1] * GAP
 
 
 def test_first_events_and_gaps_are_learned_apart() -> None:
     patience = learned(0.4, begun=True)
-    assert patience.first(AIM) == FIRST_OF_AIM[0] * AIM
+    assert patience.first_event_timeout(AIM) == FIRST_EVENT_FRACTIONS[0] * AIM
 
 
 def test_an_entry_host_late_by_itself_is_no_reason_to_look() -> None:
-    assert StallTimeouts().gap(0.01) == LEAST_TIMEOUT
+    assert StallTimeouts().gap_timeout(0.01) == MIN_TIMEOUT
 
 
 def test_patience_that_does_not_learn_stays_the_least() -> None:
-    assert learned(0.4, begun=True, learns=False).gap(GAP) == max(LEAST_TIMEOUT, GAP_OF_AIM[0] * GAP)
+    assert learned(0.4, begun=True, learns=False).gap_timeout(GAP) == max(
+        MIN_TIMEOUT, GAP_FRACTIONS[0] * GAP
+    )
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,7 +19,7 @@
 from bayglade.retries import RetryBudget
 from bayglade.runs import LEAVE_SPREAD_SECONDS, Run, leave_planned
 from bayglade.servers import SURE_SECONDS
-from bayglade.streams import GLANCE_SECONDS, SHORT_SECONDS, _note_failure
+from bayglade.streams import FULL_STAGE_SECONDS, STALL_POLL_SECONDS, _record_failure
 from tests.test_tiling import SERVICE, pipeline, placed, servers
 
 
@@ -56,8 +56,8 @@
         path = paths.choose(SERVICE, self.model, self.model.usual())
         assert path is not None
         paths.take(path, self.model)
-        self.call.once = False
-        self.call.head = CallHead(id=RequestId("r"), host="h", prompt_tokens=700, answer_tokens=100)
+        self.call.at_most_once = False
+        self.call.head = CallHead(id=RequestId("r"), host="h", prompt_tokens=700, max_answer_tokens=100)
         self.run = Run(path, Attempts(self.call))
 
     def _reroute(self, *arguments: Any) -> RerouteOutcome:
@@ -162,7 +162,7 @@
 
     def by(self, server: Any) -> frozenset[Any]:
         error = BackendRefused("full", step="answer", peer="p", at_fault=server.facts.address)
-        return _note_failure(self.scene.context, self.scene.call, self.scene.run, error)
+        return _record_failure(self.scene.context, self.scene.call, self.scene.run, error)
 
 
 def test_a_stage_that_did_not_take_part_is_asked_whether_it_lives(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -194,7 +194,7 @@
     refused.by(full)
     path = chosen()
     assert path is None or full not in path.servers
-    scene.at += SHORT_SECONDS
+    scene.at += FULL_STAGE_SECONDS
     assert full in chosen().servers
 
 
@@ -230,7 +230,7 @@
     # Another hall can begin the answer.
     held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
     scene.fleet.take([server.facts for server in held], [], outage=False)
-    scene.call.once = once
+    scene.call.at_most_once = once
     scene.run.begun = begun
     scene.fleet.pace(scene.run.path.servers[0], 12.0)
     if leaves:
@@ -305,13 +305,13 @@
 ) -> None:
     scene = Scene(monkeypatch)
     scene.call.deadline = scene.at + 10.0
-    patience = 3 * GLANCE_SECONDS
+    patience = 3 * STALL_POLL_SECONDS
     since = scene.at
     glances = []
-    while not streams._waited(scene.call, since, patience):
-        scene.at = streams._glance_until(scene.call, since, patience)
+    while not streams._stalled(scene.call, since, patience):
+        scene.at = streams._next_poll_at(scene.call, since, patience)
         glances.append(scene.at - since)
-    assert glances == pytest.approx([GLANCE_SECONDS, 2 * GLANCE_SECONDS, patience])
+    assert glances == pytest.approx([STALL_POLL_SECONDS, 2 * STALL_POLL_SECONDS, patience])
     assert not scene.run.on_dead_stage()
     scene.run.path.servers[-1].suspect = True
     assert scene.run.on_dead_stage()
@@ -326,7 +326,7 @@
     scene.context.diagnosis = SimpleNamespace(examine_anew=asked.append)
     monkeypatch.setattr(streams.eventlet, "spawn_n", lambda act, servers: act(servers))
     error = BackendError("the connection broke", step="receive", peer="s")
-    _note_failure(scene.context, scene.call, scene.run, error)
+    _record_failure(scene.context, scene.call, scene.run, error)
     assert asked == [[scene.run.path.servers[0]]]
 
 
--- a/tests/test_taken_keys.py
+++ b/tests/test_taken_keys.py
@@ -69,12 +69,12 @@
 
     monkeypatch.setattr(wholes, "_attempt", attempt)
     monkeypatch.setattr(wholes, "_least_busy", lambda *_: SimpleNamespace(throttle=None))
-    monkeypatch.setattr(wholes, "_note_failure", lambda *_: None)
+    monkeypatch.setattr(wholes, "_record_failure", lambda *_: None)
     call = scene.call()
     call.endpoint = SimpleNamespace(max_attempts=2, repeatable=True)
     connection: Any = SimpleNamespace(answer=lambda status, headers, body: told.append(status))
     try:
-        wholes.relay_whole(scene.context, call, connection)
+        wholes.relay_buffered(scene.context, call, connection)
     except BaygladeError as error:
         return told, error
     finally:
--- a/tests/test_wait_queues.py
+++ b/tests/test_wait_queues.py
@@ -44,7 +44,7 @@
             service=SERVICE,
             group=None,
             priority=priority,
-            head=CallHead(id=RequestId(name), host="h", prompt_tokens=10, answer_tokens=10),
+            head=CallHead(id=RequestId(name), host="h", prompt_tokens=10, max_answer_tokens=10),
         )
 
         def wait() -> Any:
--- a/tests/test_wholes.py
+++ b/tests/test_wholes.py
@@ -12,7 +12,7 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import HallName
 from bayglade.servers import Server
-from bayglade.wholes import _least_busy, _note_failure
+from bayglade.wholes import _least_busy, _record_failure
 from tests.server_rows import facts_of
 
 SERVICE = "plain"
@@ -60,7 +60,7 @@
             got += server is self.servers[0]
             if server is sheds and self.rng.random() < SHED_PART:
                 lost += 1
-                _note_failure(self.context, self.call, server, BackendRefused("full", step="answer"))
+                _record_failure(self.context, self.call, server, BackendRefused("full", step="answer"))
                 continue
             server.in_flight += 1
             self.running.append((self.at + CALL_SECONDS, server))
