--- a/bayglade/callers/api.py
+++ b/bayglade/callers/api.py
@@ -15,16 +15,16 @@
 from bayglade.exceptions import BaygladeError, InvalidRequest, MethodNotAllowed, NotFound, Outcome
 from bayglade.ids import ModelName, RequestId, ServiceName
 from bayglade.models import Completion, EndReason, ServiceRequest
-from bayglade.presence import Presence
+from bayglade.presence import DisconnectWatcher
 from bayglade.responses import (
     JSON_TYPE,
     REQUEST_HEADER,
     Environ,
     Response,
     bearer_key,
-    header,
     json_response,
     read_body,
+    request_header,
 )
 from bayglade.router import Router
 from bayglade.services.wire import (
@@ -49,7 +49,7 @@
     """The API towards callers."""
 
     def __init__(
-        self, router: Router, presence: Presence, max_body_bytes: int, body_timeout: float
+        self, router: Router, presence: DisconnectWatcher, max_body_bytes: int, body_timeout: float
     ) -> None:
         self.router = router
         self.presence = presence
@@ -118,7 +118,7 @@
         self, environ: Environ, request: Completion, writer: wire.Writer, claim: Claim | None
     ) -> Response:
         answer = Answer()
-        with self.presence.watching(_socket(environ)):
+        with self.presence.watch(_socket(environ)):
             tokens = list(self.router.complete(request, answer, claim))
         content = self._finished(writer, answer, claim)
         assert tokens == answer.committed
@@ -132,14 +132,14 @@
         first = next(pieces)
         response = _answered(request.id, wire.STREAM_TYPE, b"")
         response.headers.append(("Cache-Control", "no-store"))
-        response.pieces = _chained(first, pieces)
+        response.chunks = _chained(first, pieces)
         return response
 
     def _pieces(
         self, environ: Environ, request: Completion, writer: wire.Writer, claim: Claim | None
     ) -> Iterator[bytes]:
         answer = Answer()
-        with self.presence.watching(_socket(environ)):
+        with self.presence.watch(_socket(environ)):
             try:
                 for token in self.router.complete(request, answer, claim):
                     yield writer.token(token)
@@ -171,7 +171,7 @@
         claim = self.router.claim(request, _digest(environ, body))
         if isinstance(claim, Kept):
             return _service_response(request.id, claim.answer)
-        with self.presence.watching(_socket(environ)):
+        with self.presence.watch(_socket(environ)):
             return _service_response(request.id, self.router.call(request, claim))
 
     def _service_request(
@@ -194,7 +194,7 @@
     def _seconds(self, environ: Environ, holder: Holder) -> float:
         """Return the seconds a request may take: the caller may shorten, not lengthen."""
         allowed = deadline_of(self.router.tree, holder.group)
-        text = header(environ, wire.DEADLINE_HEADER)
+        text = request_header(environ, wire.DEADLINE_HEADER)
         if text is None:
             return allowed
         try:
@@ -223,7 +223,7 @@
 
 def _repeatable(environ: Environ, by_default: bool) -> bool:
     """Read whether a request may be repeated; a caller cannot undo a service's no."""
-    text = header(environ, wire.REPEATABLE_HEADER)
+    text = request_header(environ, wire.REPEATABLE_HEADER)
     if text is None:
         return by_default
     if text not in REPEATABLE_WORDS:
@@ -233,7 +233,7 @@
 
 
 def _idempotency_key(environ: Environ, repeatable: bool) -> str | None:
-    key = header(environ, wire.KEY_HEADER)
+    key = request_header(environ, wire.KEY_HEADER)
     if key is None and not repeatable:
         message = f"a request that may not be repeated needs {wire.KEY_HEADER}"
         raise InvalidRequest(message, step="read", peer="caller")
@@ -254,7 +254,7 @@
 ) -> ServiceCall:
     path = environ["RAW_PATH_INFO"].removeprefix(f"{SERVICES_PATH}{name}") or "/"
     query = environ.get("QUERY_STRING")
-    passed = {n: header(environ, n) for n in REQUEST_HEADERS}
+    passed = {n: request_header(environ, n) for n in REQUEST_HEADERS}
     passed["content-type"] = environ.get("CONTENT_TYPE")
     headers = filter_headers({n: v for n, v in passed.items() if v}, REQUEST_HEADERS)
     headers[REQUEST_ID_HEADER] = request
@@ -284,7 +284,7 @@
     kept = msgspec.json.decode(answer.body, type=wire.Completion).choices[0]
     text = kept.message.content if kept.message is not None else kept.text or ""
     response = _answered(RequestId(writer.request), wire.STREAM_TYPE, b"")
-    response.pieces = [writer.token(text), writer.end(kept.finish_reason or "stop")]
+    response.chunks = [writer.token(text), writer.end(kept.finish_reason or "stop")]
     return response
 
 
--- a/bayglade/completions.py
+++ b/bayglade/completions.py
@@ -36,27 +36,27 @@
 MIN_GAP_TIMEOUT = 0.5
 GAP_FACTOR = 40.0
 MAX_ATTEMPTS = 6
-ROOM_POLL = 0.02
-ROOM_WAIT = 2.0
+ROUTE_POLL_SECONDS = 0.02
+ROUTE_WAIT_SECONDS = 2.0
 
 
 class Answer:
     """What one completion has given so far."""
 
-    __slots__ = ("committed", "ran", "reason", "route")
+    __slots__ = ("committed", "may_have_run", "reason", "route")
 
     def __init__(self) -> None:
         self.committed: list[str] = []
         self.reason: EndReason | None = None
         self.route: Route | None = None
-        self.ran = False
+        self.may_have_run = False
 
     def __repr__(self) -> str:
         return f"<Answer {len(self.committed)} tokens, {self.reason}>"
 
     def outcome(self) -> Outcome:
         """Tell what is known of an answer that will not become whole."""
-        return Outcome.UNKNOWN if self.ran else Outcome.NOT_RUN
+        return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
 class Completions:
@@ -93,7 +93,7 @@
         self._budget(request).note_request()
         began = now()
         answer.route = self.admission.acquire_route(request)
-        avoid: frozenset[BackendId] = frozenset()
+        avoided: frozenset[BackendId] = frozenset()
         self.metrics.time("admission.wait", now() - began)
         event("DEBUG", "granted", request=request.id, group=request.group, wait=round(now() - began, 4))
         try:
@@ -105,8 +105,8 @@
                     yield from self._attempt(request, answer, attempt)
                     return
                 except BackendError as error:
-                    avoid = self._failed(request, answer, attempt, error, avoid)
-                self._next_route(request, answer, attempt, avoid)
+                    avoided = self._handle_failure(request, answer, attempt, error, avoided)
+                self._next_route(request, answer, attempt, avoided)
             raise RetryBudgetSpent(
                 f"{MAX_ATTEMPTS} attempts failed",
                 step="retry",
@@ -121,14 +121,14 @@
     def _attempt(self, request: Completion, answer: Answer, attempt: AttemptNumber) -> Iterator[str]:
         route = answer.route
         assert route is not None
-        order = self._order(request, answer, attempt, route)
+        message = self._generate_message(request, answer, attempt, route)
         before = len(answer.committed)
         started = now()
         whole = False
         try:
-            for frame in self.engines.stream(order, self._gap_timeout(request)):
-                answer.ran = True
-                if not self._belongs(frame, request, attempt, len(answer.committed)):
+            for frame in self.engines.stream(message, self._gap_timeout(request)):
+                answer.may_have_run = True
+                if not self._is_expected(frame, request, attempt, len(answer.committed)):
                     self.metrics.count("frames.dropped")
                     continue
                 if isinstance(frame, engine_wire.TokenFrame):
@@ -137,17 +137,17 @@
                 elif isinstance(frame, engine_wire.ErrorFrame):
                     raise BackendError(frame.code, step="stage", peer=frame.backend)
                 else:
-                    whole = self._ended(frame, answer)
+                    whole = self._finish(frame, answer)
                 if request.seconds_left() < 0:
                     raise DeadlinePassed("the deadline passed", step="stream", outcome=Outcome.UNKNOWN)
             if not whole:
                 raise BackendError("the stream ended early", step="stream", peer=route.stages[0].backend)
-            self._learn(request, route, len(answer.committed) - before, now() - started)
+            self._record_speed(request, route, len(answer.committed) - before, now() - started)
         finally:
             if not whole:
                 self._fence(request, attempt, route)
 
-    def _order(
+    def _generate_message(
         self, request: Completion, answer: Answer, attempt: AttemptNumber, route: Route
     ) -> engine_wire.Generate:
         return engine_wire.Generate(
@@ -163,7 +163,7 @@
             stages=list(route.stages),
         )
 
-    def _belongs(
+    def _is_expected(
         self, frame: engine_wire.Frame, request: Completion, attempt: AttemptNumber, index: int
     ) -> bool:
         if frame.request != request.id or frame.attempt != attempt:
@@ -174,7 +174,7 @@
             raise BackendError("a token is missing", step="stream", peer="")
         return False
 
-    def _ended(self, frame: engine_wire.EndFrame, answer: Answer) -> bool:
+    def _finish(self, frame: engine_wire.EndFrame, answer: Answer) -> bool:
         route = answer.route
         assert route is not None
         if frame.count != len(answer.committed):
@@ -184,7 +184,7 @@
             self.admission.backends.report(route.stages[0].backend, frame.load)
         return True
 
-    def _learn(self, request: Completion, route: Route, tokens: int, seconds: float) -> None:
+    def _record_speed(self, request: Completion, route: Route, tokens: int, seconds: float) -> None:
         for stage in route.stages:
             self.admission.backends.succeeded(stage.backend)
         if not tokens:
@@ -205,28 +205,28 @@
         gap = max(MIN_GAP_TIMEOUT, GAP_FACTOR * speed.seconds_per_token)
         return min(FIRST_GAP_TIMEOUT, gap, max(0.01, request.seconds_left()))
 
-    def _failed(
+    def _handle_failure(
         self,
         request: Completion,
         answer: Answer,
         attempt: AttemptNumber,
         error: BackendError,
-        avoid: frozenset[BackendId],
+        avoided: frozenset[BackendId],
     ) -> frozenset[BackendId]:
         """Note a failed attempt; raise when no other may follow."""
         route = answer.route
         assert route is not None
-        answer.ran = answer.ran or error.outcome is not Outcome.NOT_RUN
+        answer.may_have_run = answer.may_have_run or error.outcome is not Outcome.NOT_RUN
         if request.seconds_left() <= 0:
             # Silence until the caller's own deadline says nothing of the server.
             outcome = answer.outcome()
             raise DeadlinePassed("the deadline passed", step="stream", peer=error.peer, outcome=outcome)
-        guilty = self._guilty(error, route)
-        for backend in guilty:
-            self._blame(backend, error)
+        at_fault = self._servers_at_fault(error, route)
+        for backend in at_fault:
+            self._report_failure(backend, error)
         self.metrics.count("attempts.failed")
         event("WARNING", "attempt failed", request=request.id, attempt=attempt, error=repr(error))
-        if not request.repeatable and answer.ran:
+        if not request.repeatable and answer.may_have_run:
             raise error
         if not self._budget(request).acquire():
             raise RetryBudgetSpent(
@@ -236,9 +236,9 @@
                 outcome=answer.outcome(),
                 retry_after=jittered_retry_after(1.0, self.rng),
             )
-        return avoid | guilty
+        return avoided | at_fault
 
-    def _guilty(self, error: BackendError, route: Route) -> frozenset[BackendId]:
+    def _servers_at_fault(self, error: BackendError, route: Route) -> frozenset[BackendId]:
         """Find the servers at fault: the one named, or those that do not answer."""
         head = route.stages[0]
         later = {stage.backend: stage for stage in route.stages[1:]}
@@ -248,7 +248,7 @@
         silent = frozenset(stage.backend for stage, probe in probes if probe.wait() is None)
         return silent or frozenset({head.backend})
 
-    def _blame(self, backend: BackendId, error: BackendError) -> None:
+    def _report_failure(self, backend: BackendId, error: BackendError) -> None:
         state = self.admission.backends.states.get(backend)
         if isinstance(error, BackendRefused) and state is not None:
             load = self.engines.load(state.facts.address)
@@ -263,41 +263,41 @@
             eventlet.spawn_n(self.engines.cancel, stage, message)
 
     def _next_route(
-        self, request: Completion, answer: Answer, attempt: AttemptNumber, avoid: frozenset[BackendId]
+        self, request: Completion, answer: Answer, attempt: AttemptNumber, avoided: frozenset[BackendId]
     ) -> None:
         """Move to another route; what was begun goes before what waits."""
         old, answer.route = answer.route, None
         assert old is not None
         self.admission.release_route(old)
-        if not self._others_cover((request.model, request.version), avoid):
+        if not self._others_cover((request.model, request.version), avoided):
             # Only servers that failed are left: give them a moment.
             eventlet.sleep(min(retry_delay(attempt, self.rng), max(0.0, request.seconds_left())))
-        until = now() + min(ROOM_WAIT, request.seconds_left())
+        until = now() + min(ROUTE_WAIT_SECONDS, request.seconds_left())
         while answer.route is None:
-            if not answer.ran:
+            if not answer.may_have_run:
                 # Its version may have been rolled away meanwhile: asking on for it would find no room.
                 request.version = self.admission.serving_version(request.model, request.version)
-            answer.route = self._take(request, avoid)
+            answer.route = self._take_route(request, avoided)
             if answer.route is not None:
                 return
             if now() > until:
-                raise self._no_room(request.model, answer)
-            eventlet.sleep(ROOM_POLL)
+                raise self._no_room_error(request.model, answer)
+            eventlet.sleep(ROUTE_POLL_SECONDS)
 
-    def _take(self, request: Completion, avoid: frozenset[BackendId]) -> Route | None:
-        kind = (request.model, request.version)
-        if self._others_cover(kind, avoid):
-            return self.admission.take_route(kind, avoid)
-        return self.admission.take_route(kind)
+    def _take_route(self, request: Completion, avoided: frozenset[BackendId]) -> Route | None:
+        model_version = (request.model, request.version)
+        if self._others_cover(model_version, avoided):
+            return self.admission.take_route(model_version, avoided)
+        return self.admission.take_route(model_version)
 
-    def _others_cover(self, kind: ModelVersion, avoid: frozenset[BackendId]) -> bool:
+    def _others_cover(self, model_version: ModelVersion, avoided: frozenset[BackendId]) -> bool:
         try:
-            self.admission.check_coverage(kind, avoid)
+            self.admission.check_coverage(model_version, avoided)
         except NoRoute:
             return False
         return True
 
-    def _no_room(self, model: ModelName, answer: Answer) -> BaygladeError:
+    def _no_room_error(self, model: ModelName, answer: Answer) -> BaygladeError:
         return Overloaded(
             f"no other route of {model} has room",
             step="retry",
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -24,14 +24,14 @@
 from bayglade.metrics import create_metrics
 from bayglade.operators.api import Operators
 from bayglade.placement import LEASE_NAME, Placer
-from bayglade.presence import Presence
+from bayglade.presence import DisconnectWatcher
 from bayglade.responses import (
     Environ,
     Response,
     StartResponse,
     error_response,
     json_response,
-    start,
+    to_wsgi,
 )
 from bayglade.revisions import Current, Revisions
 from bayglade.router import Router
@@ -92,7 +92,7 @@
             self._heard,
             self.rng,
         )
-        self.presence = Presence(self.metrics)
+        self.presence = DisconnectWatcher(self.metrics)
         self.callers = callers.Callers(
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
@@ -145,7 +145,7 @@
         self.metrics.time("request.first_byte", now() - started)
         # A body that was not read to its end would be taken for the next request.
         close = self.membership.draining or response.status in (400, 413)
-        return start(response, environ, start_response, close)
+        return to_wsgi(response, environ, start_response, close)
 
     def _respond(self, environ: Environ) -> Response:
         path = environ["PATH_INFO"]
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -40,7 +40,7 @@
 from bayglade.metrics import create_metrics
 from bayglade.paths import PathSelector
 from bayglade.peering import Peering
-from bayglade.presence import CallerLeft, Presence
+from bayglade.presence import CallerDisconnected, DisconnectWatcher
 from bayglade.quarantine import Quarantine
 from bayglade.relay import RelayContext
 from bayglade.responses import JSON_TYPE
@@ -168,7 +168,7 @@
         )
         self.loader.daemons = self.peering.count
         look_together(self._feeds())
-        self.presence = Presence(self.metrics)
+        self.presence = DisconnectWatcher(self.metrics)
         self.active: set[RequestId] = set()
         self.draining = False
         self.draining_since = 0.0
@@ -272,11 +272,11 @@
             self._check_stopping(call)
             self.quarantine.check(call)
             self.active.add(request)
-            with self.presence.watching(connection.sock):
+            with self.presence.watch(connection.sock):
                 self._relay(call, connection)
         except BaygladeError as error:
             self._fail(connection, error, request, started)
-        except (CallerLeft, OSError):
+        except (CallerDisconnected, OSError):
             # Noticed while waiting, or by a send.
             event("INFO", "caller left", request=request, after=round(now() - started, 3))
             raise
--- a/bayglade/presence.py
+++ b/bayglade/presence.py
@@ -15,30 +15,30 @@
 a caller has left, and each look wakes the process."""
 
 
-class CallerLeft(greenlet.GreenletExit):
+class CallerDisconnected(greenlet.GreenletExit):
     """Thrown into the task of a request whose caller hung up."""
 
 
-class Presence:
+class DisconnectWatcher:
     """The connections of requests being served."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.watched: dict[greenlet.greenlet, socket.socket] = {}
-        self.busy = Event()
+        self.became_nonempty = Event()
 
     def __repr__(self) -> str:
         return f"<Presence {len(self.watched)} watched>"
 
     @contextmanager
-    def watching(self, connection: socket.socket) -> Iterator[None]:
+    def watch(self, connection: socket.socket) -> Iterator[None]:
         """Watch the connection of a request while its task works on it.
 
         :param connection: the caller's green socket.
         """
         task = eventlet.getcurrent()
-        if not self.watched and not self.busy.ready():
-            self.busy.send()
+        if not self.watched and not self.became_nonempty.ready():
+            self.became_nonempty.send()
         # The plain socket below the green one is non-blocking.
         self.watched[task] = connection.fd  # type: ignore[attr-defined]
         try:
@@ -49,21 +49,21 @@
     def run(self) -> None:
         """Look at all watched connections now and then, for ever."""
         while True:
-            self.busy.wait()
-            self.busy = Event()
+            self.became_nonempty.wait()
+            self.became_nonempty = Event()
             while self.watched:
-                self._look()
+                self._check_connections()
 
-    def _look(self) -> None:
+    def _check_connections(self) -> None:
         eventlet.sleep(CHECK_INTERVAL)
         for task, sock in list(self.watched.items()):
-            if _gone(sock):
+            if _is_closed(sock):
                 self.watched.pop(task, None)
                 self.metrics.count("callers.left")
-                eventlet.kill(task, CallerLeft())
+                eventlet.kill(task, CallerDisconnected())
 
 
-def _gone(sock: socket.socket) -> bool:
+def _is_closed(sock: socket.socket) -> bool:
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
--- a/bayglade/responses.py
+++ b/bayglade/responses.py
@@ -17,7 +17,7 @@
 OUTCOME_HEADER = "Bayglade-Outcome"
 REQUEST_HEADER = "Bayglade-Request"
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -59,7 +59,7 @@
     status: int
     headers: list[tuple[str, str]]
     content: bytes = b""
-    pieces: Iterable[bytes] | None = None
+    chunks: Iterable[bytes] | None = None
 
     def __repr__(self) -> str:
         return f"<Response {self.status}>"
@@ -110,7 +110,7 @@
     return response
 
 
-def start(
+def to_wsgi(
     response: Response, environ: Environ, start_response: StartResponse, close: bool
 ) -> Iterable[bytes]:
     """Hand an answer to the WSGI server.
@@ -124,11 +124,11 @@
     headers = list(response.headers)
     if close:
         headers.append(("Connection", "close"))
-    line = f"{response.status} {REASONS.get(response.status, 'Status')}"
-    if response.pieces is not None:
+    line = f"{response.status} {REASON_PHRASES.get(response.status, 'Status')}"
+    if response.chunks is not None:
         environ["eventlet.minimum_write_chunk_size"] = 0
         start_response(line, headers)
-        return response.pieces
+        return response.chunks
     headers.append(("Content-Length", str(len(response.content))))
     start_response(line, headers)
     return [response.content]
@@ -160,7 +160,7 @@
     return body
 
 
-def header(environ: Environ, name: str) -> str | None:
+def request_header(environ: Environ, name: str) -> str | None:
     """Return a request header, or nothing."""
     value: str | None = environ.get("HTTP_" + name.upper().replace("-", "_"))
     return value
@@ -172,5 +172,5 @@
     :param environ: the request's environment.
     :return: the key; empty when there is none.
     """
-    scheme, _, key = (header(environ, "Authorization") or "").partition(" ")
+    scheme, _, key = (request_header(environ, "Authorization") or "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -29,7 +29,7 @@
 from bayglade.pathfinding import Path
 from bayglade.pipelines import Pipeline
 from bayglade.relay import Attempts, RelayContext, await_crash_reports, request_fingerprint
-from bayglade.runs import Run, blame, leave_planned, look_into
+from bayglade.runs import Run, investigate_stall, leave_departing_stages, record_possible_crash
 from bayglade.sending import read_answer_head, send
 from bayglade.servers import Server
 from bayglade.trials import ended_stages, heads_to_avoid
@@ -330,7 +330,7 @@
     head = run.path.servers[0]
     keep_seconds = None
     exchange = send(context, call, head, run.path, delivery.last_event)
-    run.sent(exchange)
+    run.start(exchange)
     attempts.note_sent(head)
     try:
         message, answer = _await_head(context, call, pipeline, run)
@@ -340,7 +340,7 @@
             _forward_events(context, call, pipeline, run, message, delivery)
         keep_seconds = answer.keep_alive_seconds
     finally:
-        run.was_read()
+        run.note_read()
         exchange.close(keep_seconds)
     for server in run.path.servers:
         context.fleet.succeeded(server)
@@ -356,8 +356,8 @@
         try:
             return read_answer_head(context, call, head, run.exchange, _next_poll_at(call, since, timeout))
         except BackendSilent:
-            if run.on_dead_stage() or _stalled(call, since, timeout):
-                look_into(context, call, pipeline, run, timeout)
+            if run.should_leave_dead_stage() or _stalled(call, since, timeout):
+                investigate_stall(context, call, pipeline, run, timeout)
                 since = now()
 
 
@@ -399,17 +399,17 @@
         try:
             piece = run.exchange.read_piece(_next_poll_at(call, since, timeout))
         except BackendSilent:
-            if run.on_dead_stage() or _stalled(call, since, timeout):
-                look_into(context, call, pipeline, run, timeout)
+            if run.should_leave_dead_stage() or _stalled(call, since, timeout):
+                investigate_stall(context, call, pipeline, run, timeout)
                 since = now()
             continue
         if piece is None:
             break
         since = now()
-        context.stall_timeouts.record(now() - run.event_at, run.begun)
-        run.moved_on()
+        context.stall_timeouts.record(now() - run.last_event_at, run.begun)
+        run.note_event()
         delivery.deliver(message, splitter.feed(piece))
-        leave_planned(context, call, pipeline, run)
+        leave_departing_stages(context, call, pipeline, run)
     if splitter.rest:
         raise BackendError("the stream ended inside an event", step="stream", peer=run.exchange.backend)
     delivery.finish(message)
@@ -430,7 +430,7 @@
         error=repr(error),
         content=request_fingerprint(context, call, error),
         rest=error.rest_seconds if isinstance(error, BackendRefused) else None,
-        begun=None if run.begun_at is None else round(now() - run.begun_at, 3),
+        begun=None if run.first_event_at is None else round(now() - run.first_event_at, 3),
     )
     if isinstance(error, BackendRefused):
         if error.misdirected:
@@ -446,7 +446,7 @@
     if isinstance(error, BackendUnwilling):
         return frozenset({BackendId(error.peer)})
     if not isinstance(error, BackendUnreachable):
-        blame(context, call, run, head)
+        record_possible_crash(context, call, run, head)
     if isinstance(error, BackendUnreachable):
         context.fleet.suspect(head, error.code)
     elif not head.suspect:
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -99,14 +99,14 @@
         return place
 
     attempts.seconds_until_room = None
-    in_turn = not context.wait_queues.has_waiters(call.service)
-    if in_turn and (place := seek()) is not None:
+    no_queue = not context.wait_queues.has_waiters(call.service)
+    if no_queue and (place := seek()) is not None:
         return place
     servers = [s for s in context.fleet.sound(call.service) if s.facts.id not in attempts.tried]
     expected = context.fleet.rate_limits.expected_wait(
         servers, context.wait_queues.count_ahead(call.service)
     )
-    if expected is None and not in_turn and (place := seek()) is not None:
+    if expected is None and not no_queue and (place := seek()) is not None:
         # Those that wait are about to be let go: there is a server without a limit.
         return place
     if expected is None:
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -36,7 +36,7 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import GroupPath, HallName, RequestId
 from bayglade.paths import PathSelector
-from bayglade.presence import CallerLeft
+from bayglade.presence import CallerDisconnected
 from bayglade.quarantine import Quarantine
 from bayglade.relay import MAX_SENDS, MAX_UNREACHABLE
 from bayglade.retries import RetryBudget
@@ -329,7 +329,7 @@
     task = scene.start(scene.break_off_full)
     eventlet.sleep(LATER)
     assert scene.wait_queues.waiting() == 1
-    eventlet.kill(task, CallerLeft())
+    eventlet.kill(task, CallerDisconnected())
     eventlet.sleep(0)
     assert scene.wait_queues.waiting() == 0
     scene.fill(-FULL)
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -23,7 +23,7 @@
 from bayglade.ids import BackendId, HallName, RequestId, ServiceName
 from bayglade.models import Route
 from bayglade.relay import Attempts
-from bayglade.runs import MAX_LOOK_SECONDS, Run
+from bayglade.runs import MAX_PROBE_INTERVAL, Run
 from bayglade.servers import Server, ServerFacts
 from tests import virtual_time
 
@@ -197,24 +197,24 @@
         at = 100.0 + step * PATIENCE
         before = len(stages.asked)
         diagnosis.findings.clear()
-        assert runs.dead_stages(Peers(diagnosis), CALL, run, PATIENCE) == frozenset()  # type: ignore[arg-type]
+        assert runs.find_dead_stages(Peers(diagnosis), CALL, run, PATIENCE) == frozenset()  # type: ignore[arg-type]
         if len(stages.asked) > before:
             looks.append(step)
     assert looks[:3] == [0, 1, 3]
-    assert len(looks) <= 4 + 40 * PATIENCE / MAX_LOOK_SECONDS
-    run.moved_on()
+    assert len(looks) <= 4 + 40 * PATIENCE / MAX_PROBE_INTERVAL
+    run.note_event()
     before = len(stages.asked)
     diagnosis.findings.clear()
-    runs.dead_stages(Peers(diagnosis), CALL, run, PATIENCE)  # type: ignore[arg-type]
+    runs.find_dead_stages(Peers(diagnosis), CALL, run, PATIENCE)  # type: ignore[arg-type]
     assert len(stages.asked) == before + 1 + ASKED_BY_TURNS
 
 
 def test_a_stage_that_others_found_dead_is_noticed_without_a_question() -> None:
     diagnosis, stages, servers = diagnose(set())
     run = Run(Path(servers), Attempts(CALL))  # type: ignore[arg-type]
-    run.look_at = float("inf")
+    run.next_probe_at = float("inf")
     servers[2].suspect = True
-    assert runs.dead_stages(Peers(diagnosis), CALL, run, PATIENCE) == {"s2"}  # type: ignore[arg-type]
+    assert runs.find_dead_stages(Peers(diagnosis), CALL, run, PATIENCE) == {"s2"}  # type: ignore[arg-type]
     assert stages.asked == []
 
 
@@ -275,10 +275,10 @@
 @pytest.mark.parametrize(
     ("still_for", "queued", "stalled", "silent"),
     [
-        (runs.SILENT_SECONDS + 0.1, 0, False, True),
-        (runs.SILENT_SECONDS - 0.1, 0, False, False),
-        (runs.SILENT_SECONDS + 0.1, 3, False, False),
-        (runs.SILENT_SECONDS + 0.1, 0, True, False),
+        (runs.SILENT_CONNECTION_SECONDS + 0.1, 0, False, True),
+        (runs.SILENT_CONNECTION_SECONDS - 0.1, 0, False, False),
+        (runs.SILENT_CONNECTION_SECONDS + 0.1, 3, False, False),
+        (runs.SILENT_CONNECTION_SECONDS + 0.1, 0, True, False),
     ],
     ids=["nothing explains it", "too early", "requests queue there", "a stage behind is waited for"],
 )
@@ -290,8 +290,8 @@
     waits_for = {CALL.head.id: servers[2].facts.address} if stalled else {}
     report = msgspec.structs.replace(ALIVE, queued=queued, stalled=waits_for)
     diagnosis.findings[servers[0].facts.id] = Finding(report)
-    monkeypatch.setattr(runs, "now", lambda: run.event_at + still_for)
-    assert runs.connection_silent(Peers(diagnosis), CALL, run) is silent  # type: ignore[arg-type]
+    monkeypatch.setattr(runs, "now", lambda: run.last_event_at + still_for)
+    assert runs.is_connection_silent(Peers(diagnosis), CALL, run) is silent  # type: ignore[arg-type]
 
 
 def test_a_server_that_comes_back_without_its_layers_stays_suspect_until_its_row_says_so() -> None:
--- a/tests/test_leaving_stages.py
+++ b/tests/test_leaving_stages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayglade.runs import LEAVE_AGAIN_SECONDS, LEAVE_SPREAD_SECONDS
+from bayglade.runs import LEAVE_RETRY_SECONDS, LEAVE_SPREAD_SECONDS
 from tests.test_streams import Scene
 
 
@@ -38,7 +38,7 @@
     leave_alone(scene)
     searched = count_searches(scene, monkeypatch)
     for _ in range(100):
-        scene.look(LEAVE_AGAIN_SECONDS / 25)
+        scene.look(LEAVE_RETRY_SECONDS / 25)
     assert 2 <= len(searched) <= 6
 
 
@@ -48,5 +48,5 @@
     searched = count_searches(scene, monkeypatch)
     leaving.leaving = False
     for _ in range(10):
-        scene.look(LEAVE_AGAIN_SECONDS)
+        scene.look(LEAVE_RETRY_SECONDS)
     assert searched == []
--- a/tests/test_staying_streams.py
+++ b/tests/test_staying_streams.py
@@ -6,7 +6,7 @@
 
 from bayglade import runs
 from bayglade.exceptions import BackendError
-from bayglade.runs import MOVE_PAUSE, STAY_SECONDS
+from bayglade.runs import DETOUR_RETRY_SECONDS, MIN_MOVE_INTERVAL
 from tests.test_streams import Scene, look_into
 
 
@@ -41,7 +41,7 @@
     look_into(scene)
     assert scene.rerouted == []
     load(scene)
-    scene.at += STAY_SECONDS
+    scene.at += DETOUR_RETRY_SECONDS
     look_into(scene)
     assert len(scene.rerouted) == 1
     assert ended not in scene.run.path.servers
@@ -51,11 +51,11 @@
     end(scene, scene.paired_stage())
     look_into(scene)
     monkeypatch.setattr(scene.context.paths, "detour", lambda *_: pytest.fail("it looked again at once"))
-    scene.at += STAY_SECONDS / 2
-    assert not scene.run.on_dead_stage()
+    scene.at += DETOUR_RETRY_SECONDS / 2
+    assert not scene.run.should_leave_dead_stage()
     look_into(scene)
-    scene.at += STAY_SECONDS
-    assert scene.run.on_dead_stage()
+    scene.at += DETOUR_RETRY_SECONDS
+    assert scene.run.should_leave_dead_stage()
 
 
 def test_it_ends_when_its_first_stage_has_ended_too(scene: Scene) -> None:
@@ -76,7 +76,7 @@
     end(scene, scene.paired_stage())
     look_into(scene)
     monkeypatch.setattr(scene.context.quarantine, "holds", lambda call: True)
-    scene.at += STAY_SECONDS
+    scene.at += DETOUR_RETRY_SECONDS
     with pytest.raises(BackendError):
         look_into(scene)
 
@@ -88,6 +88,6 @@
     look_into(scene)
     assert len(scene.rerouted) == 1
     scene.moved = True
-    scene.at += max(MOVE_PAUSE, STAY_SECONDS)
-    runs.look_into(scene.context, scene.call, scene.model, scene.run, 0.1)
+    scene.at += max(MIN_MOVE_INTERVAL, DETOUR_RETRY_SECONDS)
+    runs.investigate_stall(scene.context, scene.call, scene.model, scene.run, 0.1)
     assert len(scene.rerouted) == 2
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -17,7 +17,7 @@
 from bayglade.quarantine import Quarantine
 from bayglade.relay import MAX_UNREACHABLE, Attempts
 from bayglade.retries import RetryBudget
-from bayglade.runs import LEAVE_SPREAD_SECONDS, Run, leave_planned
+from bayglade.runs import LEAVE_SPREAD_SECONDS, Run, leave_departing_stages
 from bayglade.servers import SURE_SECONDS
 from bayglade.streams import FULL_STAGE_SECONDS, STALL_POLL_SECONDS, _record_failure
 from tests.test_tiling import SERVICE, pipeline, placed, servers
@@ -66,7 +66,7 @@
 
     def look(self, seconds: float = 0.0) -> None:
         self.at += seconds
-        leave_planned(self.context, self.call, self.model, self.run)
+        leave_departing_stages(self.context, self.call, self.model, self.run)
 
     def paired_stage(self) -> Any:
         """Return a stage behind the first whose layers another server holds as well."""
@@ -204,7 +204,7 @@
     scene = Scene(monkeypatch)
     slow = scene.paired_stage()
     scene.fleet.pace(slow, 12.0)
-    runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
+    runs.leave_slow_stages(scene.context, scene.call, scene.model, scene.run)
     assert slow not in scene.run.path.servers
     assert slow.cached == 0
     assert all(server.cached > 0 for server in scene.run.path.servers)
@@ -216,7 +216,7 @@
     scene = Scene(monkeypatch)
     scene.fleet.pace(scene.paired_stage(), 12.0)
     scene.run = Run(scene.run.path, Attempts(scene.call))
-    runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
+    runs.leave_slow_stages(scene.context, scene.call, scene.model, scene.run)
     assert scene.rerouted == []
 
 
@@ -235,9 +235,9 @@
     scene.fleet.pace(scene.run.path.servers[0], 12.0)
     if leaves:
         with pytest.raises(BackendError):
-            runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
+            runs.leave_slow_stages(scene.context, scene.call, scene.model, scene.run)
     else:
-        runs.leave_slow(scene.context, scene.call, scene.model, scene.run)
+        runs.leave_slow_stages(scene.context, scene.call, scene.model, scene.run)
 
 
 def dead_head(scene: Scene, begun: bool = True) -> None:
@@ -252,7 +252,7 @@
 
 
 def look_into(scene: Scene) -> None:
-    runs.look_into(scene.context, scene.call, scene.model, scene.run, 0.1)
+    runs.investigate_stall(scene.context, scene.call, scene.model, scene.run, 0.1)
 
 
 def test_a_stream_whose_first_stage_is_silent_goes_on_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -312,12 +312,12 @@
         scene.at = streams._next_poll_at(scene.call, since, patience)
         glances.append(scene.at - since)
     assert glances == pytest.approx([STALL_POLL_SECONDS, 2 * STALL_POLL_SECONDS, patience])
-    assert not scene.run.on_dead_stage()
+    assert not scene.run.should_leave_dead_stage()
     scene.run.path.servers[-1].suspect = True
-    assert scene.run.on_dead_stage()
+    assert scene.run.should_leave_dead_stage()
     # One that was moved just now is left alone for a moment.
-    scene.run.move_at = scene.at + 0.1
-    assert not scene.run.on_dead_stage()
+    scene.run.next_move_at = scene.at + 0.1
+    assert not scene.run.should_leave_dead_stage()
 
 
 def test_a_first_stage_whose_connection_broke_is_asked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -370,5 +370,5 @@
 
     scene.context.control = SimpleNamespace(reroute=reroute)
     scene.run.avoided = frozenset({scene.run.path.servers[1].facts.id})
-    assert runs._move(scene.context, scene.call, scene.model, scene.run, "dead")
-    assert scene.run.on_path_at <= moved_at
+    assert runs._leave_avoided_stages(scene.context, scene.call, scene.model, scene.run, "dead")
+    assert scene.run.path_since <= moved_at
--- a/tests/test_wait_queues.py
+++ b/tests/test_wait_queues.py
@@ -11,7 +11,7 @@
 from bayglade.calls import CallHead
 from bayglade.clock import now
 from bayglade.ids import RequestId, ServiceName
-from bayglade.presence import CallerLeft
+from bayglade.presence import CallerDisconnected
 from bayglade.usage import Usage
 from bayglade.wait_queues import MAX_SKIPPED, WaitQueues
 
@@ -127,7 +127,7 @@
 def test_a_caller_that_leaves_gives_up_its_turn() -> None:
     scene = Scene()
     first, _ = scene.enter("a"), scene.enter("b")
-    eventlet.kill(first, CallerLeft())
+    eventlet.kill(first, CallerDisconnected())
     eventlet.sleep(0)
     scene.end()
     assert scene.served == ["b"]
@@ -141,7 +141,7 @@
     # Granted, but its task has not run yet when the caller leaves.
     scene.wait_queues.grant_places(SERVICE)
     scene.free.append(Place())
-    eventlet.kill(first, CallerLeft())
+    eventlet.kill(first, CallerDisconnected())
     eventlet.sleep(0)
     assert place.released == 1
     assert scene.served == ["b"]
