--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -12,6 +12,7 @@
 
 from bayglade import logs, platform
 from bayglade.beliefs import Beliefs, path_beliefs, server_beliefs, stop_beliefs, table_beliefs
+from bayglade.buffered_answers import relay_buffered
 from bayglade.calls import Call
 from bayglade.clock import Suspensions, keep_timers, now
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
@@ -51,7 +52,6 @@
 from bayglade.upstream import ConnectionPool
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
-from bayglade.wholes import relay_buffered
 
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
