--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -17,7 +17,6 @@
 from bayglade.clock import Suspensions, keep_timers, now
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
-from bayglade.ends import watch_ends
 from bayglade.epochs import GuardedTable, StoreHistory
 from bayglade.exceptions import BaygladeError, InvalidSettings, Stopping
 from bayglade.feeds import Feed, look_together
@@ -47,6 +46,7 @@
 from bayglade.responses import JSON_TYPE
 from bayglade.retries import jittered_retry_after
 from bayglade.rows import Changes
+from bayglade.server_termination import watch_ends
 from bayglade.settings import CallerLimits
 from bayglade.streams import relay_stream
 from bayglade.upstream import ConnectionPool
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from bayglade import ends
-from bayglade.ends import watch_ends
+from bayglade import server_termination
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, Incarnation
 from bayglade.quarantine import Quarantine
+from bayglade.server_termination import watch_ends
 from bayglade.servers import Server, ServerFacts
 from tests.test_quarantine import call
 from tests.test_tiling import SERVICE
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def scene(monkeypatch: pytest.MonkeyPatch) -> Scene:
-    monkeypatch.setattr(ends.eventlet, "spawn_n", lambda act, *arguments: act(*arguments))
+    monkeypatch.setattr(server_termination.eventlet, "spawn_n", lambda act, *arguments: act(*arguments))
     return Scene()
 
 
