--- a/bayglade/callers/api.py
+++ b/bayglade/callers/api.py
@@ -12,10 +12,10 @@
 from bayglade.clock import now
 from bayglade.completions import Answer
 from bayglade.directory import Directory, Holder
+from bayglade.disconnects import DisconnectWatcher
 from bayglade.exceptions import BaygladeError, InvalidRequest, MethodNotAllowed, NotFound, Outcome
 from bayglade.ids import ModelName, RequestId, ServiceName
 from bayglade.models import Completion, EndReason, ServiceRequest
-from bayglade.presence import DisconnectWatcher
 from bayglade.responses import (
     JSON_TYPE,
     REQUEST_HEADER,
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -13,6 +13,7 @@
 from bayglade.clock import keep_timers, now
 from bayglade.config import Config, parse_address
 from bayglade.directory import Directory
+from bayglade.disconnects import DisconnectWatcher
 from bayglade.engines import create_engines
 from bayglade.entries import Membership
 from bayglade.entries.membership import LOST_AFTER
@@ -24,7 +25,6 @@
 from bayglade.metrics import create_metrics
 from bayglade.operators.api import Operators
 from bayglade.placement import LEASE_NAME, Placer
-from bayglade.presence import DisconnectWatcher
 from bayglade.responses import (
     Environ,
     Response,
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -17,6 +17,7 @@
 from bayglade.clock import Suspensions, keep_timers, now
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
+from bayglade.disconnects import CallerDisconnected, DisconnectWatcher
 from bayglade.epochs import GuardedTable, StoreHistory
 from bayglade.exceptions import BaygladeError, InvalidSettings, Stopping
 from bayglade.feeds import Feed, look_together
@@ -40,7 +41,6 @@
 from bayglade.metrics import create_metrics
 from bayglade.paths import PathSelector
 from bayglade.peering import Peering
-from bayglade.presence import CallerDisconnected, DisconnectWatcher
 from bayglade.quarantine import Quarantine
 from bayglade.relay import RelayContext
 from bayglade.responses import JSON_TYPE
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -23,6 +23,7 @@
 from bayglade import streams
 from bayglade.calls import CallHead
 from bayglade.clock import now
+from bayglade.disconnects import CallerDisconnected
 from bayglade.exceptions import (
     BackendError,
     BackendRefused,
@@ -36,7 +37,6 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import GroupPath, HallName, RequestId
 from bayglade.paths import PathSelector
-from bayglade.presence import CallerDisconnected
 from bayglade.quarantine import Quarantine
 from bayglade.relay import MAX_SENDS, MAX_UNREACHABLE
 from bayglade.retries import RetryBudget
--- a/tests/test_wait_queues.py
+++ b/tests/test_wait_queues.py
@@ -10,8 +10,8 @@
 from bayglade import wait_queues as queues_module
 from bayglade.calls import CallHead
 from bayglade.clock import now
+from bayglade.disconnects import CallerDisconnected
 from bayglade.ids import RequestId, ServiceName
-from bayglade.presence import CallerDisconnected
 from bayglade.usage import Usage
 from bayglade.wait_queues import MAX_SKIPPED, WaitQueues
 
