--- a/bayglade/admission.py
+++ b/bayglade/admission.py
@@ -1,7 +1,7 @@
-"""Admission: requests wait here, in order of their shares, until a route has room.
+"""Admission control: requests queue here in order of fair shares until a route has room.
 
-Queues stand in the daemon and not in the engines, so that order is decided
-here. A request that cannot be served in time is refused at once.
+Requests queue in the daemon rather than in the engines, so that the daemon
+decides their order. A request that cannot meet its deadline is rejected at once.
 """
 
 import random
@@ -28,12 +28,12 @@
 SPEED_SMOOTHING = 0.1
 
 Queue = ShareQueue[Event]
+"""The waiting requests for one version of one model."""
 ModelVersion = tuple[ModelName, Version]
-"""A line holds the requests for one version of one model."""
 
 
 class Speed:
-    """What was measured of one version of a model."""
+    """Measured speed of one version of a model."""
 
     __slots__ = ("deviation", "seconds_per_token", "tokens_served")
 
@@ -43,21 +43,21 @@
         self.deviation = INITIAL_SECONDS_PER_TOKEN / 4
 
     def __repr__(self) -> str:
-        return f"<Speed {self.seconds_per_token * 1000:.2f} ms a token>"
+        return f"<Speed {self.seconds_per_token * 1000:.2f} ms per token>"
 
     def update(self, seconds_per_token: float) -> None:
-        """Take in the speed of one answer."""
+        """Update the averages with the speed of one answer."""
         error = seconds_per_token - self.seconds_per_token
         self.seconds_per_token += SPEED_SMOOTHING * error
         self.deviation += SPEED_SMOOTHING * (abs(error) - self.deviation)
 
     def upper_bound(self) -> float:
-        """Return seconds a token that nearly all answers keep to."""
+        """Return an upper bound on the seconds per token that nearly all answers stay below."""
         return self.seconds_per_token + UPPER_BOUND_DEVIATIONS * self.deviation
 
 
 class Admission:
-    """All lines of a daemon and the routes handed out to them."""
+    """The queues of a daemon, and the routes that it reserves for requests."""
 
     def __init__(self, backends: Backends, usage: Usage, rng: random.Random, hall: str) -> None:
         self.backends = backends
@@ -72,25 +72,25 @@
         return f"<Admission {self.waiting()} waiting>"
 
     def waiting(self) -> int:
-        """Return how many requests wait."""
-        return sum(len(line) for line in self.queues.values())
+        """Return the number of waiting requests."""
+        return sum(len(queue) for queue in self.queues.values())
 
     def sync(self, tree: Tree) -> None:
-        """Take in a new revision of the settings."""
+        """Apply a new revision of the settings."""
         self.tree = tree
         self.backends.sync(tree)
         self.dispatch_all()
 
     def acquire_route(self, request: Completion) -> Route:
-        """Wait for a turn and take a place on every server of a route.
+        """Wait for a turn, and reserve a slot on every server of a route.
 
-        The estimated cost is charged to the group when the turn comes; the
-        caller of this method corrects it when the answer has ended.
+        The estimated cost is charged to the group when its turn comes; the
+        caller of this method corrects the charge when the answer is complete.
 
         :param request: the request.
-        :return: the route; give it back with :meth:`leave`.
-        :raises NoRoute: when the live servers do not cover the model.
-        :raises Overloaded: at once, when its turn would come too late.
+        :return: the route; return it with :meth:`release_route`.
+        :raises NoRoute: if the live servers do not cover the model.
+        :raises Overloaded: at once if the turn would come too late, or later if it did not come in time.
         """
         model_version = (request.model, request.version)
         self.check_coverage(model_version)
@@ -105,11 +105,11 @@
         return self._wait(request, queue)
 
     def serving_version(self, model: ModelName, wanted: Version) -> Version:
-        """Return the version to serve: the wanted one, or another while it is being loaded.
+        """Return the version to serve: the wanted one, or another one while it is being loaded.
 
         :param model: the model.
         :param wanted: the version in force for the group.
-        :return: a version that live servers cover, if there is any.
+        :return: a version that live servers cover, if there is one; otherwise the wanted one.
         """
         if self._covered((model, wanted)):
             return wanted
@@ -124,11 +124,11 @@
     def take_route(
         self, model_version: ModelVersion, excluded: frozenset[BackendId] = frozenset()
     ) -> Route | None:
-        """Take a place on a route at once, if one has room.
+        """Reserve a route immediately, if one has room.
 
-        :param kind: model and version.
-        :param without: servers not to use.
-        :return: the route, or nothing.
+        :param model_version: model and version.
+        :param excluded: servers that must not be used.
+        :return: the route, or None.
         """
         usable = self._usable(model_version, excluded)
         stages = choose_route(
@@ -145,7 +145,7 @@
         return Route(stages)
 
     def release_route(self, route: Route) -> None:
-        """Give back the places of a route and serve who waits."""
+        """Release a route, and serve waiting requests."""
         for stage in route.stages:
             state = self.backends.states.get(stage.backend)
             if state is not None and state.in_flight > 0:
@@ -157,9 +157,9 @@
     ) -> None:
         """Check that live servers cover the model.
 
-        :param kind: model and version.
-        :param without: servers not to use.
-        :raises NoRoute: when they do not.
+        :param model_version: model and version.
+        :param excluded: servers that must not be used.
+        :raises NoRoute: if they do not.
         """
         model = self.tree.models.get(model_version[0])
         if model is not None and covers(self._usable(model_version, excluded), model.layers):
@@ -171,25 +171,25 @@
         )
 
     def dispatch_all(self) -> None:
-        """Serve whoever waits and can be served."""
-        for kind, line in self.queues.items():
-            if len(line):
-                self._dispatch(kind, line)
+        """Serve all waiting requests for which there is room."""
+        for model_version, queue in self.queues.items():
+            if len(queue):
+                self._dispatch(model_version, queue)
 
     def reject_uncovered(self) -> None:
-        """Refuse at once those who wait for a model that no live servers cover."""
-        for kind, line in self.queues.items():
-            if not len(line):
+        """Reject requests that wait for a model that the live servers do not cover."""
+        for model_version, queue in self.queues.items():
+            if not len(queue):
                 continue
             try:
-                self.check_coverage(kind)
+                self.check_coverage(model_version)
             except NoRoute as error:
-                for waiting in line.all():
-                    line.remove(waiting)
+                for waiting in queue.all():
+                    queue.remove(waiting)
                     waiting.entry.send_exception(error)
 
     def speed(self, model_version: ModelVersion) -> Speed:
-        """Return what was measured of a version of a model."""
+        """Return the measured speed of a version of a model."""
         if model_version not in self.speeds:
             self.speeds[model_version] = Speed()
         return self.speeds[model_version]
@@ -214,13 +214,13 @@
                 granted: Route = grant.wait()
                 return granted
         except BaseException:
-            # The caller left: a turn that came in the same moment is given back.
+            # The caller disconnected: release a route that was granted at the same moment.
             if not queue.remove(waiting) and grant.has_result():
                 self._release_grant(request, grant)
             raise
         if queue.remove(waiting):
             raise self._too_late_error(queue, request)
-        # The turn came in the same moment as the time-out.
+        # The route was granted at the same moment as the timeout.
         late_grant: Route = grant.wait()
         return late_grant
 
@@ -236,7 +236,7 @@
     def _too_late_error(self, queue: Queue, request: Completion) -> BaygladeError:
         wait = self._wait_seconds(request, queue)
         return Overloaded(
-            "the deadline cannot be met behind the work that waits",
+            "the deadline cannot be met: too much work is queued ahead",
             step="admission",
             retry_after=jittered_retry_after(wait, self.rng),
         )
@@ -247,14 +247,14 @@
 
     def _wait_seconds(self, request: Completion, queue: Queue) -> float:
         speed = self.speed((request.model, request.version))
-        # What runs now is a bound from below while few answers have ended.
+        # While few answers have ended, the requests in flight give a lower bound on the rate.
         running = self._in_flight(request) / speed.seconds_per_token
         rate = max(speed.tokens_served.rate(now()), running)
         ahead = queue.cost_before(request.group)
         return ahead / rate if rate > 0 else 0.0
 
     def _in_flight(self, request: Completion) -> int:
-        """Return how many requests of this daemon the first stages of a model run."""
+        """Return how many requests of this daemon run on the first stages of a model."""
         states = self.backends.of_model(request.model, request.version)
         return sum(state.in_flight for state in states if state.facts.first == 0)
 
@@ -278,5 +278,5 @@
         try:
             return priority_of(self.tree, path), level_at(self.tree, path).share
         except BaygladeError:
-            # The group went away while its requests waited.
+            # The group was removed while its requests waited.
             return 0, 1.0
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -1,8 +1,8 @@
-"""The relay: sends calls to backend servers, and keeps count of what came of each.
+"""Attempts at relaying a call to backend servers, and the record of their outcomes.
 
-What may be sent again, and when a refusal may promise that nothing ran, is
-decided here. Whole answers are in :mod:`bayglade.wholes`, streams in
-:mod:`bayglade.streams`.
+This module decides whether a call may be sent again, and whether an error may
+promise that it did not run. Buffered answers are in
+:mod:`bayglade.buffered_answers`, streams in :mod:`bayglade.streams`.
 """
 
 import random
@@ -39,18 +39,18 @@
 from bayglade.wait_queues import WaitQueues
 
 MAX_UNREACHABLE = 4
-"""Servers that may turn out unreachable before a call is given up: nothing was sent to them."""
+"""Unreachable servers after which a call is given up; nothing was sent to any of them."""
 NO_ROUTE_RETRY_AFTER = 0.5
 MAX_SENDS = 8
-"""Sendings of one call, those included that a full server turned away."""
+"""Bound on how often one call is sent, including sends that a full server rejected."""
 SUSPENSION_SECONDS = 0.1
-"""A wait that ends so much too late shows that this daemon was stopped, or is far too busy."""
+"""A sleep that overruns by this much shows that the daemon was suspended or is badly overloaded."""
 FULL_RETRY_AFTER = 0.3
-"""When to come back: about the time in which a place becomes free."""
+"""Retry-After if all servers are full: about the time in which a place becomes free."""
 
 
 class RelayContext:
-    """What the relay works with: the servers, the ways to them and what guards their use."""
+    """The collaborators of a relay: the servers, the paths and connections to them, and the safeguards."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.control = control
         self.diagnosis = diagnosis
         self.check_authorization = check_authorization
-        """Raises CutOff when the call may no longer be sent."""
+        """Raises CutOff if the call may no longer be sent, Unauthenticated if its key was revoked."""
 
         self.metrics = metrics
         self.rng = rng
@@ -84,24 +84,24 @@
         self.wait_queues = wait_queues
         self.quarantine = quarantine
         self.new_budget = new_budget
-        """Makes the budget of a service, this daemon's part of the bound on all of them."""
+        """Creates the retry budget of a service: this daemon's part of the bound on all daemons."""
 
         self.budgets: dict[str, RetryBudget] = {}
         self.borrow: Callable[[str, RetryBudget], None] = lambda service, budget: None
-        """Borrows for a budget that is spent."""
+        """Borrows retries from other daemons for an exhausted budget."""
 
     def __repr__(self) -> str:
         return f"<RelayContext {self.fleet!r}>"
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """Return the budget for sending calls of a service again."""
+        """Return the retry budget of a service."""
         if service not in self.budgets:
             self.budgets[service] = self.new_budget()
         return self.budgets[service]
 
 
 class Attempts:
-    """What has come of one call so far."""
+    """The attempts at one call, and their outcome so far."""
 
     __slots__ = (
         "call",
@@ -121,36 +121,36 @@
         self.unreachable_count = 0
         self.tried: set[BackendId] = set()
         self.used_servers: list[Server] = []
-        """Servers that the call was sent to, each once."""
+        """Servers that the call was sent to, without duplicates."""
 
         self.failure: BackendError | None = None
         self.seconds_until_room: float | None = None
-        """Seconds until there may be room; nothing unless the call found none."""
+        """Expected seconds until there is room; None unless the call found no room."""
 
         self.may_have_run = False
-        """Whether one of the sendings may have run."""
+        """Whether the call may have run on a server that it was sent to."""
 
         self.stop_error: RequestStopped | None = None
-        """Set when the call must not be sent any more."""
+        """Set if the call must not be sent any more."""
 
     def __repr__(self) -> str:
-        return f"<Attempts {self.send_count} sent, {self.unreachable_count} unreached>"
+        return f"<Attempts {self.send_count} sent, {self.unreachable_count} unreachable>"
 
     def can_continue(self, begun: bool = False) -> bool:
-        """Tell whether there is time left for the call, and reason to try.
+        """Return whether the call has time left and is worth another attempt.
 
-        :param begun: whether its caller has a part of the answer: then only time ends it.
+        :param begun: whether its caller already has a part of the answer; then only the deadline ends it.
         """
         return self.call.seconds_left() > 0 and (begun or not self.exhausted())
 
     def exhausted(self) -> bool:
-        """Tell whether a call that has got nothing yet was tried often enough."""
+        """Return whether the bounds on attempts are reached; they apply until the answer has begun."""
         return self.unreachable_count > MAX_UNREACHABLE or self.send_count >= MAX_SENDS
 
     def acquire_send(self, context: RelayContext, begun: bool = False) -> bool:
-        """Tell whether the call may be sent once more, and take that from the budget.
+        """Return whether the call may be sent once more; a retry is charged to the retry budget.
 
-        :param begun: whether its caller has a part of the answer.
+        :param begun: whether its caller already has a part of the answer.
         """
         if not self.can_continue(begun) or self.check_stopped(context):
             return False
@@ -165,13 +165,13 @@
         return False
 
     def log_budget_spent(self, context: RelayContext) -> None:
-        """Log that the budget has no repeat left for the call."""
+        """Log that the retry budget has no retry left for the call."""
         budget = context.retry_budget(self.call.service)
         event("INFO", "retry budget spent", request=self.call.head.id, budget=budget)
         context.metrics.count("retry_budget_spent")
 
     def check_stopped(self, context: RelayContext) -> bool:
-        """Tell whether servers ended under the call, here or elsewhere, so that it goes nowhere more."""
+        """Return whether the call must not be sent again because servers crashed under it anywhere."""
         try:
             context.quarantine.check(self.call)
         except RequestStopped as error:
@@ -180,37 +180,37 @@
         return False
 
     def can_retry(self, context: RelayContext) -> bool:
-        """Tell whether the call could be sent once more, without taking that from the budget."""
+        """Return whether the call may be sent once more, without charging the retry budget."""
         if self.send_count >= MAX_SENDS or context.quarantine.holds(self.call):
             return False
         return self.has_retry_budget(context)
 
     def has_retry_budget(self, context: RelayContext) -> bool:
-        """Tell whether the budget has a repeat left, without taking it."""
+        """Return whether the retry budget has a retry left, without charging it."""
         budget = context.retry_budget(self.call.service)
         if not budget.available() and Mechanism.LENDING not in context.without:
             context.borrow(self.call.service, budget)
         return budget.available()
 
     def allowed_servers(self) -> frozenset[BackendId] | None:
-        """Return the servers to which the call may still go; nothing when any may be new.
+        """Return the servers to which the call may still be sent, or None if any server is allowed.
 
-        Servers that have ended meanwhile do not count towards the bound on servers
-        that one call may be sent to; one that is out of reach just now does.
+        The number of servers that one call may be sent to is bounded. Servers that have
+        terminated since do not count; one that is only unreachable at the moment does.
         """
         at = now()
-        alive = frozenset(head.facts.id for head in self.used_servers if not head.ended(at))
+        alive = frozenset(server.facts.id for server in self.used_servers if not server.ended(at))
         return alive if len(alive) >= self.call.endpoint.max_attempts else None
 
     def note_sent(self, server: Server) -> None:
-        """Count a sending to a server."""
+        """Record that the call was sent to a server."""
         self.send_count += 1
         self.tried.add(server.facts.id)
         if server not in self.used_servers:
             self.used_servers.append(server)
 
     def note_failure(self, error: BackendError) -> bool:
-        """Take in the end of an attempt; tell whether another may follow."""
+        """Record a failed attempt, and return whether another one may follow."""
         self.failure = error
         if isinstance(error, BackendUnreachable):
             self.unreachable_count += 1
@@ -220,35 +220,34 @@
         return not self.call.at_most_once
 
     def final_error(self, rng: random.Random) -> BaygladeError:
-        """Return what the caller is told when no attempt brought an answer.
+        """Return the error for the caller if no attempt succeeded.
 
-        Only a call of which no sending can have run is refused with a status
-        that promises so.
+        Only if no server can have run the call is it an error that promises so.
         """
         if self.call.seconds_left() <= 0:
-            return DeadlinePassed("no whole answer in time", step="relay", outcome=self.outcome())
+            return DeadlinePassed("no complete answer in time", step="relay", outcome=self.outcome())
         if self.may_have_run:
-            # The last failure alone may be a refusal, which says nothing of the sendings before.
+            # The last failure may be a rejection, which says nothing about the earlier sends.
             last = f": {self.failure.message}" if self.failure is not None else ""
-            return BackendError(f"no whole answer{last}", step="relay")
+            return BackendError(f"no complete answer{last}", step="relay")
         if self.stop_error is not None:
             return self.stop_error
         if isinstance(self.failure, BackendRefused) or self.seconds_until_room is not None:
             again = jittered_retry_after(max(FULL_RETRY_AFTER, self.seconds_until_room or 0.0), rng)
-            return Overloaded("the servers are full", step="relay", retry_after=again)
+            return Overloaded("all servers are full", step="relay", retry_after=again)
         again = jittered_retry_after(NO_ROUTE_RETRY_AFTER, rng)
-        return NoRoute("no server can run this now", step="relay", retry_after=again)
+        return NoRoute("no server can run this request now", step="relay", retry_after=again)
 
     def outcome(self) -> Outcome:
-        """Tell what is known of all sendings together."""
+        """Return the combined outcome of all sends."""
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
 def await_crash_reports(context: RelayContext, call: Call) -> None:
-    """Wait before a call is sent once more for word of whether its servers ended, if that would stop it.
+    """Before a retry, wait for reports of whether the call's servers crashed, if these could stop it.
 
-    A server that was asked in the moment of its end may just have broken the question off: those of which
-    nothing is sure are looked at once more.
+    A server that was probed just as it crashed may only have closed the probe's connection, so servers
+    whose state is not certain are probed once more.
     """
     seconds = context.quarantine.gather_seconds(call)
     if seconds <= 0:
@@ -260,9 +259,9 @@
 
 
 def _wait_for_reports(seconds: float) -> None:
-    """Wait for word of other daemons, for longer if this one did not run meanwhile.
+    """Sleep while reports of other daemons arrive; sleep again if this daemon was suspended meanwhile.
 
-    One that was stopped in this wait would go on before it reads what others told it in that time.
+    After a suspension the daemon would otherwise go on before it has read the reports sent in that time.
     """
     since = now()
     eventlet.sleep(seconds)
@@ -271,18 +270,18 @@
 
 
 def probe_server(context: RelayContext, server: Server) -> None:
-    """Look whether nobody listens any more for a server that broke a call off.
+    """Probe whether nothing listens any more at the address of a server that broke off a call.
 
-    That somebody does says nothing: what stands before a server may, or a later start of it.
+    A successful connection proves nothing: it may reach a proxy or a restarted server.
     """
     context.pool.probe(server.facts.id, server.facts.address)
 
 
 def request_fingerprint(context: RelayContext, call: Call, error: BackendError) -> Fingerprint | None:
-    """Return what names a request that may have run on a server which broke off, for the log.
+    """Return the fingerprint, for the log, of a request that may have run on a server which broke off.
 
-    Ids are new with each try: without this, that one request comes again and again cannot be told from
-    many that fail once.
+    Request ids change with each attempt of the caller. Without the fingerprint, one request that fails
+    again and again looks the same in the log as many that fail once.
     """
     if error.outcome is Outcome.NOT_RUN:
         return None
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -1,7 +1,7 @@
-"""Sending: one call to one server, as far as the head of its answer.
+"""Sends one call to one server, and reads the head of its answer.
 
-All that callers ask of backend servers goes out here, so what must not be sent any more is stopped here;
-and what a server says of itself in an answer is taken in here.
+Every request of a caller to a backend server passes through here, so the checks on what may no longer be
+sent are made here. Notices that a server attaches to an answer are applied here as well.
 """
 
 from bayglade.calls import AnswerHead, Call, Sending
@@ -26,17 +26,17 @@
 ) -> Exchange:
     """Send a call to a server.
 
-    :param peers: what the relay works with.
+    :param context: the collaborators of the relay.
     :param call: the call.
-    :param server: where it goes.
-    :param path: the way through the model, for a stream.
-    :param last_event: the event after which a stream goes on.
-    :param place: what the call has taken of the server; that of the path when left out.
-    :return: the exchange, whose answer is still to come.
-    :raises CutOff: when the call may no longer be sent.
-    :raises BackendUnwilling: when the server said meanwhile that it wants none; nothing was sent.
-    :raises BackendUnreachable: when nothing was sent.
-    :raises BackendError: when parts may have arrived.
+    :param server: the server to send it to.
+    :param path: the path through the model, for a stream.
+    :param last_event: the event after which a stream is resumed.
+    :param place: what the call has reserved on the server; the path if omitted.
+    :return: the exchange; its answer has not been read yet.
+    :raises CutOff: if the call may no longer be sent.
+    :raises BackendUnwilling: if the server stopped accepting requests meanwhile; nothing was sent.
+    :raises BackendUnreachable: if nothing was sent.
+    :raises BackendError: if parts of the request may have arrived.
     """
     facts = server.facts
     check_may_send(context, call, server)
@@ -54,7 +54,7 @@
         if call.body or call.method not in ("GET", "HEAD"):
             headers.append(("Content-Length", str(len(call.body))))
         start = f"{call.method} {call.target.decode('latin-1')} HTTP/1.1"
-        # Opening a connection may take as long as a server takes to say that it wants no more.
+        # While the connection was opened, the server may have announced that it accepts no more requests.
         check_may_send(context, call, server)
         _confirm_rate_limits(place or path or Place((server,)))
         exchange.send(write_head(start, headers) + call.body, call.deadline)
@@ -75,40 +75,40 @@
 
 
 def check_may_send(context: RelayContext, call: Call, server: Server) -> None:
-    """Check what may have changed since a server was chosen for a call.
+    """Check conditions that may have changed since a server was chosen for a call.
 
-    :raises CutOff: when the call may no longer be sent.
-    :raises BackendUnwilling: when the server leaves, or asked for a rest.
+    :raises CutOff: if the call may no longer be sent.
+    :raises BackendUnwilling: if the server is leaving, or asked for a pause.
     """
     context.check_authorization(call)
     if server.leaving or server.resting(now()):
-        raise BackendUnwilling("the server wants no requests now", step="send", peer=server.facts.id)
+        raise BackendUnwilling("the server accepts no requests now", step="send", peer=server.facts.id)
 
 
 def _confirm_rate_limits(place: Place) -> None:
-    """Check that a request was taken out of the limits of its servers, just before it goes out.
+    """Check, just before a request is sent, that it was charged to the rate limits of its servers.
 
-    :raises BackendUnwilling: when one of them has named a limit since it was chosen.
+    :raises BackendUnwilling: if one of them has announced a limit since it was chosen.
     """
     for server in place.servers:
         if not place.admits(server):
-            raise BackendUnwilling("the limit of the server is used up", step="send", peer=server.facts.id)
+            raise BackendUnwilling("the server's rate limit is used up", step="send", peer=server.facts.id)
     place.sent()
 
 
 def read_answer_head(
     context: RelayContext, call: Call, server: Server, exchange: Exchange, until: float
 ) -> tuple[Message, AnswerHead]:
-    """Wait for the head of the own answer.
+    """Wait for the head of the answer to this call.
 
-    :param peers: what the relay works with.
+    :param context: the collaborators of the relay.
     :param call: the call.
-    :param server: where it was sent.
+    :param server: the server that it was sent to.
     :param exchange: the exchange with that server.
     :param until: when to give up, in monotonic seconds.
-    :return: the answer and what its head says.
-    :raises BackendRefused: when the server says that it did not run the call.
-    :raises BackendError: when there is no answer, or none that is the server's own.
+    :return: the answer, and the parsed content of its head.
+    :raises BackendRefused: if the server says that it did not run the call.
+    :raises BackendError: if there is no answer, or none that the server vouches for.
     """
 
     def is_own(message: Message) -> bool:
@@ -130,21 +130,21 @@
             rest_seconds=head.rest_seconds,
         )
     if not head.authentic or head.request is None:
-        raise BackendError("an answer that is not the server's own", step="answer", peer=exchange.backend)
+        raise BackendError("the server does not vouch for the answer", step="answer", peer=exchange.backend)
     return message, head
 
 
 def apply_server_notices(context: RelayContext, server: Server, head: AnswerHead, sent_at: float) -> None:
-    """Take in what a server says of itself in an answer.
+    """Apply what a server says about itself in an answer.
 
-    One that turns a request away on behalf of a later stage rests as well: it is the one that answered.
+    A server that rejects a request on behalf of a later stage is paused too, because it sent the answer.
 
-    :param sent_at: when the request went out, in monotonic seconds.
+    :param sent_at: when the request was sent, in monotonic seconds.
     """
     if head.leaving:
         context.fleet.said_leaving(server, "its answer")
     if head.rest_seconds is not None:
         context.fleet.rest(server, head.rest_seconds)
     if head.rate_limit is not None or head.authentic:
-        # Only what the server vouches for shows that it names no limit any more.
+        # A missing limit counts only in an answer that the server vouches for.
         context.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -1,7 +1,8 @@
-"""Wait queues: requests that found no room wait here, in the order of their shares.
+"""Queues of requests that wait for room on servers, ordered by the fair shares of their groups.
 
-Whoever waits is given a place and not just a turn to look for one: places
-are sought for the request whose turn it is, and it stays first until there is one.
+A waiting request is granted a reserved place, not only a turn to look for one.
+Places are sought for the request at the head of the queue, and it stays there
+until one is found.
 """
 
 from collections import deque
@@ -20,22 +21,22 @@
 from bayglade.usage import Usage
 
 POLL_INTERVAL_SECONDS = 0.06
-"""Time between looks while no own request ends: places become free on other daemons' requests too."""
+"""Poll interval while no request of this daemon ends: requests of other daemons free places as well."""
 RATE_TIME_CONSTANT = 3.0
-"""Time constant of the rate at which requests end: about as long as one runs."""
+"""Time constant of the measured completion rate, in seconds: about as long as one request runs."""
 
 MAX_DEFERRED = 1000
-"""Callers that were sent away and are kept in mind, for each service."""
+"""Bound on the remembered callers, per service, that were rejected and are expected to retry."""
 MAX_SKIPPED = 4
-"""Requests that are passed over in one look for places: each costs a search for a path."""
+"""Bound on the requests that one pass over a queue skips: each costs a search for a path."""
 
 BEGUN_PRIORITY = 1 << 16
-"""Priority of streams that have begun, above those of all calls: their callers wait in mid-answer."""
+"""Priority of streams that have begun, above that of all new calls: their callers wait mid-answer."""
 
 P = TypeVar("P", bound=Place)
 
 TryReserve = Callable[[], P | None]
-"""Returns a place with room that the request has taken, if there is one."""
+"""Reserves a place with room and returns it, or returns None if there is none."""
 
 
 def _never() -> bool:
@@ -43,7 +44,7 @@
 
 
 class Waiter:
-    """A request that waits: how a place is sought for it, and who is told."""
+    """A waiting request: how to reserve a place for it, and the event that delivers the place."""
 
     __slots__ = ("granted", "restricted", "should_give_up", "try_reserve")
 
@@ -57,10 +58,10 @@
 
 
 class WaitQueues:
-    """The requests of one daemon that wait, by service.
+    """The waiting requests of one daemon, by service.
 
-    :param usage: recent service of each group, here and at other daemons.
-    :param share_of: priority and share of each group.
+    :param usage: recent usage of each group, at this and at other daemons.
+    :param share_of: returns the priority and the share of a group.
     """
 
     def __init__(self, usage: Usage, share_of: ShareOf) -> None:
@@ -69,27 +70,27 @@
         self.queues: dict[ServiceName, ShareQueue[Waiter]] = {}
         self.completed: dict[ServiceName, Decayed] = {}
         self.expected_retries: dict[ServiceName, deque[float]] = {}
-        """When callers that were sent away are to come back, in monotonic seconds."""
+        """When rejected callers are expected to retry, in monotonic seconds."""
 
         self.became_nonempty = Event()
-        """Sent when a request waits while none did."""
+        """Sent when a first request starts to wait."""
 
     def __repr__(self) -> str:
         return f"<WaitQueues {self.waiting()} waiting>"
 
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(len(queue) for queue in self.queues.values())
 
     def has_waiters(self, service: ServiceName) -> bool:
-        """Tell whether requests wait already that a new one goes behind.
+        """Return whether a new request has to queue behind others.
 
-        It goes past those that may go to some servers only.
+        Requests that are restricted to some servers do not hold it up.
         """
         return any(not waiting.entry.restricted for waiting in self._queue(service).all())
 
     def count_ahead(self, service: ServiceName) -> int:
-        """Return how many requests go before a new one: waiting ones and some to come back."""
+        """Return how many requests precede a new one: waiting ones and expected retries."""
         expected_retries = self.expected_retries.get(service, deque())
         at = now()
         while expected_retries and expected_retries[0] <= at:
@@ -97,15 +98,15 @@
         return len(self._queue(service)) + len(expected_retries)
 
     def note_deferred(self, service: ServiceName, seconds: float) -> None:
-        """Note that a caller was told to come back, so that the next one is told a later time.
+        """Record that a caller was told to retry later, so that the next one is told a later time.
 
         :param service: the service.
-        :param seconds: when it is to come back at the earliest.
+        :param seconds: the earliest time of the retry, in seconds from now.
         """
         self.expected_retries.setdefault(service, deque(maxlen=MAX_DEFERRED)).append(now() + seconds)
 
     def expected_wait(self, service: ServiceName) -> float:
-        """Return how long a new request would wait, as requests of this daemon end now."""
+        """Return how long a new request would wait at the current completion rate of this daemon."""
         completed = self.completed.get(service)
         rate = completed.rate(now()) if completed is not None else 0.0
         return len(self._queue(service)) / rate if rate > 0 else 0.0
@@ -122,13 +123,14 @@
         """Wait for a place.
 
         :param call: the request.
-        :param seek: looks for a place.
-        :param until: when waiting ends, in monotonic seconds.
-        :param choosy: whether the request may go to some servers only, so that there may be room for
-            others while there is none for it.
-        :param begun: whether its caller has a part of the answer: it goes first in its own account.
-        :param hopeless: tells whether waiting has become of no use.
-        :return: the place, taken; nothing when there was none in time.
+        :param try_reserve: tries to reserve a place.
+        :param until: when to stop waiting, in monotonic seconds.
+        :param restricted: whether the request may use some servers only, so that others may find room
+            while it does not.
+        :param begun: whether its caller already has a part of the answer; such a request goes first
+            within its group.
+        :param should_give_up: returns whether waiting has become pointless.
+        :return: the reserved place, or None if there was none in time.
         """
         queue = self._queue(call.service)
         waiter = Waiter(try_reserve, restricted, should_give_up)
@@ -142,29 +144,29 @@
             with eventlet.Timeout(max(0.0, until - now()), False):
                 granted = waiter.granted.wait()
         except BaseException:
-            # The caller left: a place that was found in the same moment is given back.
+            # The caller disconnected: release a place that was granted at the same moment.
             if not queue.remove(waiting) and waiter.granted.ready():
                 if (place := waiter.granted.wait()) is not None:
                     place.release()
                 self.grant_places(call.service)
             raise
         if granted is None and not queue.remove(waiting):
-            # The place was found, or the wait ended, in the same moment as the time.
+            # The place was granted, or the wait given up, at the same moment as the timeout.
             granted = waiter.granted.wait()
         return granted
 
     def note_completion(self, service: ServiceName) -> None:
-        """Note that a request has ended, and give its place to who waits."""
+        """Record that a request has ended, and grant its place to a waiting one."""
         if service not in self.completed:
             self.completed[service] = Decayed(RATE_TIME_CONSTANT)
         self.completed[service].add(1.0, now())
         self.grant_places(service)
 
     def grant_places(self, service: ServiceName) -> None:
-        """Give places to those who wait, in their order, while there are any.
+        """Grant places to waiting requests in order, as long as there are any.
 
-        Who may go to some servers only is passed over: it would keep the head of the line though others
-        have room.
+        Restricted requests that find no place are skipped; at the head of the queue they would block
+        others that have room.
         """
         queue = self._queue(service)
         skipped: list[Waiting[Waiter]] = []
@@ -183,7 +185,7 @@
             queue.restore(waiting)
 
     def run(self) -> None:
-        """Look for places now and then while requests wait, for ever."""
+        """Poll for places while requests wait; never returns."""
         while True:
             self.became_nonempty.wait()
             self.became_nonempty = Event()
@@ -197,7 +199,7 @@
                 self.grant_places(service)
 
     def charge(self, call: Call) -> None:
-        """Count the service of a call to its group."""
+        """Charge the cost of a call to its group."""
         self.usage.charge(call.group or ROOT, token_cost(call))
 
     def _queue(self, service: ServiceName) -> ShareQueue[Waiter]:
@@ -207,5 +209,5 @@
 
 
 def token_cost(call: Call) -> float:
-    """Return the tokens that a call may take; at least one."""
+    """Return the most tokens that a call can use; at least one."""
     return max(1.0, float(call.head.prompt_tokens + call.head.max_answer_tokens))
