--- a/bayglade/buffered_answers.py
+++ b/bayglade/buffered_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers of plain services: read to their end before a byte goes to the caller."""
+"""Relays calls to plain services: an answer is read completely before any byte goes to the caller."""
 
 import eventlet
 
@@ -23,15 +23,15 @@
 from bayglade.trials import wait_apart
 
 ANSWER_TIMEOUT_FRACTION = 0.6
-"""Part of the aim after which a repeatable call is tried at another server."""
+"""Fraction of the latency objective after which a repeatable call is tried at another server."""
 MAX_WAIT_SECONDS = 1.5
-"""How long a call waits for a server that names a limit."""
+"""How long a call waits for a rate-limited server."""
 REMOTE_HALL_PENALTY = 0.5
-"""A server of another hall counts as this much busier, as its answer takes longer."""
+"""Added to the load of a server in another hall, because its answers take longer."""
 
 
 class BufferedAnswer:
-    """A whole answer of a server."""
+    """A complete answer of a server."""
 
     __slots__ = ("content", "headers", "status")
 
@@ -41,16 +41,16 @@
         self.content = content
 
     def __repr__(self) -> str:
-        return f"<Answer {self.status} {len(self.content)} bytes>"
+        return f"<BufferedAnswer {self.status} {len(self.content)} bytes>"
 
 
 def relay_buffered(context: RelayContext, call: Call, connection: Connection) -> None:
     """Serve a call to a plain service.
 
-    :param peers: what the relay works with.
+    :param context: the collaborators of the relay.
     :param call: the call.
     :param connection: the caller's connection.
-    :raises BaygladeError: when there is no answer to pass on; nothing was sent to the caller.
+    :raises BaygladeError: if there is no answer to forward; nothing was sent to the caller.
     """
     attempts = Attempts(call)
     context.retry_budget(call.service).note_request()
@@ -69,11 +69,11 @@
             await_crash_reports(context, call)
             continue
         except (CutOff, Unauthenticated):
-            # Both say that the call has not run, which is no longer sure of one that was sent.
+            # Both errors imply that the call has not run, which is uncertain once it was sent.
             if not attempts.may_have_run and answer is None:
                 raise
             break
-        # A failure that the server vouches for goes on only when no other server may do better.
+        # An error that the server vouches for is final unless another server may do better.
         if answer.status < 500 or not call.endpoint.repeatable:
             break
     if answer is None:
@@ -85,12 +85,12 @@
 
 
 def _reserve_server(context: RelayContext, call: Call, attempts: Attempts) -> Place | None:
-    """Choose a server, or wait until one that names a limit takes another request.
+    """Choose a server, or wait until a rate-limited one accepts another request.
 
-    :return: the place there, taken; nothing when there is none in time.
+    :return: the reserved place, or None if there is none in time.
     """
 
-    def seek() -> Place | None:
+    def try_reserve() -> Place | None:
         server = _least_busy(context, call, attempts)
         if server is None:
             return None
@@ -100,22 +100,22 @@
 
     attempts.seconds_until_room = None
     no_queue = not context.wait_queues.has_waiters(call.service)
-    if no_queue and (place := seek()) is not None:
+    if no_queue and (place := try_reserve()) is not None:
         return place
     servers = [s for s in context.fleet.sound(call.service) if s.facts.id not in attempts.tried]
     expected = context.fleet.rate_limits.expected_wait(
         servers, context.wait_queues.count_ahead(call.service)
     )
-    if expected is None and not no_queue and (place := seek()) is not None:
-        # Those that wait are about to be let go: there is a server without a limit.
+    if expected is None and not no_queue and (place := try_reserve()) is not None:
+        # There is a server without a rate limit, so the requests that wait are about to be granted places.
         return place
     if expected is None:
         attempts.seconds_until_room = context.fleet.opens_in(call.service)
         return None
-    # Later it could not be answered before its deadline.
+    # A request granted later could not be answered before its deadline.
     until = min(call.deadline - call.endpoint.aim, call.arrived + MAX_WAIT_SECONDS)
     if now() + expected <= until and any(server.throttle is not None for server in servers):
-        place = context.wait_queues.wait(call, seek, until, restricted=bool(attempts.tried))
+        place = context.wait_queues.wait(call, try_reserve, until, restricted=bool(attempts.tried))
         if place is not None:
             return place
     attempts.seconds_until_room = expected
@@ -150,7 +150,7 @@
 
 
 def _answer_timeout_at(context: RelayContext, call: Call, attempts: Attempts) -> float:
-    """Return until when to wait for the head of an answer."""
+    """Return when to stop waiting for the head of an answer, in monotonic seconds."""
     endpoint = call.endpoint
     others = [s for s in context.fleet.usable(call.service) if s.facts.id not in attempts.tried]
     if not endpoint.repeatable or not others or len(attempts.used_servers) >= endpoint.max_attempts:
@@ -159,7 +159,7 @@
 
 
 def _least_busy(context: RelayContext, call: Call, attempts: Attempts) -> Server | None:
-    """Choose a server that was not tried, the least busy by this daemon's own count."""
+    """Choose the untried server that is least busy by this daemon's own count."""
     at = now()
     servers = [s for s in context.fleet.sound(call.service) if s.facts.id not in attempts.tried]
     context.fleet.rate_limits.want(servers)
@@ -204,7 +204,7 @@
 
 
 def _record_possible_crash(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
-    """Note that a server may have ended while it ran a call, and look whether it has."""
+    """Record that a server may have crashed while it ran a call, and probe whether it has."""
     context.quarantine.broke_off(call, server.facts.key, None)
     if not isinstance(error, BackendSilent):
         eventlet.spawn_n(probe_server, context, server)
--- a/bayglade/responses.py
+++ b/bayglade/responses.py
@@ -1,4 +1,4 @@
-"""HTTP requests and responses as handlers see them, over WSGI."""
+"""HTTP requests and responses as request handlers see them, over WSGI."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -36,7 +36,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What callers and operators are told of an error."""
+    """Description of an error for callers and operators."""
 
     code: str
     message: str
@@ -48,13 +48,13 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """The one JSON shape of all errors."""
+    """The JSON body of all error responses."""
 
     error: ErrorBody
 
 
 class Response(msgspec.Struct, kw_only=True):
-    """An answer: its status, its headers and its content or a stream of pieces."""
+    """A response: its status, its headers, and its content or a stream of chunks."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -66,11 +66,11 @@
 
 
 def json_response(value: object, status: int = 200) -> Response:
-    """Build a JSON answer.
+    """Build a JSON response.
 
-    :param value: anything msgspec can encode.
+    :param value: anything that msgspec can encode.
     :param status: the HTTP status.
-    :return: the answer.
+    :return: the response.
     """
     return Response(
         status=status, headers=[("Content-Type", JSON_TYPE)], content=msgspec.json.encode(value)
@@ -78,7 +78,7 @@
 
 
 def error_body(error: BaygladeError, request: str = "") -> ErrorAnswer:
-    """Describe an error to the other side.
+    """Describe an error for the other side.
 
     :param error: the error.
     :param request: the id of the request, if it has one.
@@ -97,11 +97,11 @@
 
 
 def error_response(error: BaygladeError, request: str = "") -> Response:
-    """Build the answer for an error, with when to come back where that helps.
+    """Build the response for an error, with a Retry-After header if the error has one.
 
     :param error: the error.
     :param request: the id of the request, if it has one.
-    :return: the answer.
+    :return: the response.
     """
     response = json_response(error_body(error, request), error.status)
     response.headers.append((OUTCOME_HEADER, error.outcome.value))
@@ -113,13 +113,13 @@
 def to_wsgi(
     response: Response, environ: Environ, start_response: StartResponse, close: bool
 ) -> Iterable[bytes]:
-    """Hand an answer to the WSGI server.
+    """Pass a response to the WSGI server.
 
-    :param response: the answer.
-    :param environ: the request's environment.
-    :param start_response: the server's callable.
-    :param close: ask the caller to open a new connection next time.
-    :return: what the server sends.
+    :param response: the response.
+    :param environ: the environment of the request.
+    :param start_response: the callable of the server.
+    :param close: whether to ask the caller to close the connection.
+    :return: the body for the server to send.
     """
     headers = list(response.headers)
     if close:
@@ -135,42 +135,42 @@
 
 
 def read_body(environ: Environ, limit: int, timeout: float) -> bytes:
-    """Read the whole body of a request, or nothing of it counts.
+    """Read the complete body of a request.
 
-    :param environ: the request's environment.
-    :param limit: bytes at most.
-    :param timeout: seconds for all of it.
+    :param environ: the environment of the request.
+    :param limit: greatest size in bytes.
+    :param timeout: seconds for the whole body.
     :return: the body.
-    :raises RequestTooLarge: when it is above the limit.
-    :raises InvalidRequest: when it was cut short or came too slowly.
+    :raises RequestTooLarge: if it is larger than the limit.
+    :raises InvalidRequest: if it was truncated or arrived too slowly.
     """
     declared = environ.get("CONTENT_LENGTH")
     if declared and int(declared) > limit:
-        raise RequestTooLarge(f"the body is above {limit} bytes", step="read", peer="caller")
-    slow = InvalidRequest("the body came too slowly", step="read", peer="caller")
+        raise RequestTooLarge(f"the body is larger than {limit} bytes", step="read", peer="caller")
+    slow = InvalidRequest("the body arrived too slowly", step="read", peer="caller")
     try:
         with eventlet.Timeout(timeout, slow):
             body: bytes = environ["wsgi.input"].read(int(declared) if declared else limit + 1)
     except (OSError, ValueError) as error:
-        raise InvalidRequest("the body is broken", step="read", peer="caller") from error
+        raise InvalidRequest("the body cannot be read", step="read", peer="caller") from error
     if declared and len(body) < int(declared):
-        raise InvalidRequest("the body was cut short", step="read", peer="caller")
+        raise InvalidRequest("the body was truncated", step="read", peer="caller")
     if len(body) > limit:
-        raise RequestTooLarge(f"the body is above {limit} bytes", step="read", peer="caller")
+        raise RequestTooLarge(f"the body is larger than {limit} bytes", step="read", peer="caller")
     return body
 
 
 def request_header(environ: Environ, name: str) -> str | None:
-    """Return a request header, or nothing."""
+    """Return the value of a request header, or None."""
     value: str | None = environ.get("HTTP_" + name.upper().replace("-", "_"))
     return value
 
 
 def bearer_key(environ: Environ) -> str:
-    """Return the key that a request carries.
+    """Return the bearer key of a request.
 
-    :param environ: the request's environment.
-    :return: the key; empty when there is none.
+    :param environ: the environment of the request.
+    :return: the key; empty if there is none.
     """
     scheme, _, key = (request_header(environ, "Authorization") or "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
--- a/bayglade/retries.py
+++ b/bayglade/retries.py
@@ -1,4 +1,4 @@
-"""Budgets for retries, and when callers should come back."""
+"""Retry budgets, retry delays, and Retry-After times for callers."""
 
 import random
 from collections import deque
@@ -17,12 +17,12 @@
 class RetryBudget:
     """Allows retries up to a fraction of recent requests, plus a small floor.
 
-    Retries are counted in a sliding window: a sum that decays would let twice
-    as many through within one window.
+    Retries are counted in a sliding window. An exponentially decaying sum would
+    allow twice as many within one window.
 
-    :param fraction: part of the recent requests.
-    :param floor: retries that are allowed besides; may change as daemons come and go.
-    :param window: seconds over which both are counted.
+    :param fraction: allowed retries as a fraction of the recent requests.
+    :param floor: retries allowed in addition; may change as daemons join and leave.
+    :param window: seconds over which requests and retries are counted.
     """
 
     __slots__ = ("floor", "fraction", "loan", "loan_expires", "requests", "retries", "window")
@@ -39,7 +39,7 @@
         self.requests = Decayed(window)
         self.retries: deque[float] = deque()
         self.loan = 0
-        """Retries that another daemon lent; they count there."""
+        """Retries lent by another daemon; they are counted against that daemon's budget."""
 
         self.loan_expires = 0.0
 
@@ -47,13 +47,13 @@
         return f"<RetryBudget {len(self.retries)} of {self.requests.value:.1f}>"
 
     def note_request(self) -> None:
-        """Count a first try."""
+        """Count a request's first attempt."""
         self.requests.add(1.0, now())
 
     def acquire(self) -> bool:
         """Take one retry from the budget.
 
-        :return: false when the budget is spent.
+        :return: false if the budget is exhausted.
         """
         at = now()
         if not self._own_available(at):
@@ -62,7 +62,7 @@
         return True
 
     def available(self) -> bool:
-        """Tell whether a retry could be taken now."""
+        """Return whether a retry could be taken now."""
         at = now()
         return self._own_available(at) or self._loan_available(at)
 
@@ -75,10 +75,10 @@
         return self.loan > 0 and at < self.loan_expires
 
     def add_loan(self, amount: int, until: float) -> None:
-        """Take in a loan; what was left of an earlier one that still holds is kept.
+        """Add a loan; what remains of an earlier loan that has not expired is kept.
 
-        :param amount: how many retries.
-        :param until: when the loan ends, in monotonic seconds.
+        :param amount: number of retries.
+        :param until: when the loan expires, in monotonic seconds.
         """
         left = self.loan if now() < self.loan_expires else 0
         self.loan = left + amount
@@ -92,22 +92,22 @@
 
 
 def retry_delay(attempt: int, rng: random.Random) -> float:
-    """Return how long to wait before servers that failed are tried again.
+    """Return the delay before servers that failed are tried again.
 
-    :param attempt: how many attempts have failed.
-    :param rng: source of the spread.
-    :return: seconds, doubling with each attempt, spread by half.
+    :param attempt: number of failed attempts.
+    :param rng: source of the jitter.
+    :return: seconds, doubling with each attempt and reduced at random by up to half.
     """
     return BASE_DELAY * 2.0 ** (attempt - 1) * (1.0 - JITTER * rng.random())
 
 
 def jittered_retry_after(seconds: float, rng: random.Random, minimum: float = MIN_RETRY_AFTER) -> float:
-    """Spread the moments at which refused callers come back.
+    """Add jitter to a Retry-After time, so that rejected callers do not return all at once.
 
-    :param seconds: when coming back would help at the earliest.
-    :param rng: source of the spread.
-    :param least: lower bound; small where another daemon can answer at once.
-    :return: seconds, between the earliest and half as much again, within bounds.
+    :param seconds: the earliest time at which a retry is useful, in seconds from now.
+    :param rng: source of the jitter.
+    :param minimum: lower bound; small if another daemon can answer at once.
+    :return: seconds, from the earliest time up to half as much again, within bounds.
     """
     base = min(max(seconds, minimum), MAX_RETRY_AFTER)
     return base * (1.0 + JITTER * rng.random())
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -1,8 +1,8 @@
-"""Streams of a model: events pass as they come, from one run or from several.
+"""Relays streams of a model: events are forwarded as they arrive, from one run or several in turn.
 
-A request gets a path with room, or waits for one while its caller does. When a
-run ends before the stream does (see :mod:`bayglade.runs`), the stream goes on
-in another one after the last event that was delivered, inside the same answer.
+A call gets a path with room, or waits for one as long as its caller does. If a
+run ends before the stream does (see :mod:`bayglade.runs`), another run resumes
+it after the last event that was delivered, within the same HTTP answer.
 """
 
 from collections.abc import Callable, Iterable
@@ -36,21 +36,21 @@
 from bayglade.upstream import Exchange
 
 MAX_WAIT_SECONDS = 1.5
-"""How long a call waits for room: callers of a stream leave after two seconds without an event."""
+"""How long a call waits for room. Callers of a stream disconnect after two seconds without an event."""
 FULL_STAGE_SECONDS = 0.25
-"""How long a stage that turned a request away counts as full: a request ends there every few
-hundredths of a second, and the next one that is turned away says so again."""
+"""How long a stage counts as full after it rejected a request. A request ends there every few hundredths
+of a second, and if the stage is still full, the next rejection says so."""
 RETRY_INTERVAL_SECONDS = 0.25
-"""Time between tries of a stream that has begun, once it was tried as often as a call that has not, or
-while there is no repeat that it may use."""
+"""Retry interval of a stream that has begun, once it reached the bounds on attempts of a new call, or while
+the retry budget is exhausted."""
 STALL_POLL_SECONDS = 0.04
-"""How long a stream waits before it looks whether a stage of its path is known to be dead by now: a
-little more than the usual time between events."""
+"""How often a waiting stream checks whether a stage of its path is known to be dead: a little longer than
+the usual time between events."""
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Delivery:
-    """What the caller has of a stream."""
+    """The part of a stream that the caller has received."""
 
     __slots__ = ("begun", "connection", "first_event_seconds", "last_event", "last_sent_at", "longest_gap")
 
@@ -66,7 +66,7 @@
         return f"<Delivery begun={self.begun} last_event={self.last_event}>"
 
     def start_answer(self, message: Message) -> bytes:
-        """Return the head of the answer, once; a later run goes on under it."""
+        """Return the head of the answer the first time; later runs continue under the same head."""
         if self.begun:
             return b""
         self.begun = True
@@ -74,7 +74,7 @@
         return self.connection.head(message.status, headers)
 
     def deliver(self, message: Message, events: Iterable[bytes]) -> None:
-        """Send the events that the caller does not have yet."""
+        """Send the events that the caller has not received yet."""
         fresh = []
         for item in events:
             number = event_id(item)
@@ -97,19 +97,19 @@
         self.last_sent_at = at
 
     def finish(self, message: Message) -> None:
-        """Send the end of a whole answer."""
+        """Send the end of a complete answer."""
         self.connection.send(self.start_answer(message) + LAST_CHUNK)
 
 
 def relay_stream(context: RelayContext, call: Call, pipeline: Pipeline, connection: Connection) -> None:
     """Serve a call to a model.
 
-    :param peers: what the relay works with.
+    :param context: the collaborators of the relay.
     :param call: the call.
     :param pipeline: facts of the model.
     :param connection: the caller's connection.
-    :raises BaygladeError: when it cannot be answered; what was sent to the caller shows in
-        ``connection.sent``.
+    :raises BaygladeError: if the call cannot be answered; ``connection.sent`` shows whether parts of the
+        answer were sent.
     """
     attempts = Attempts(call)
     delivery = Delivery(connection, call.head.last_event)
@@ -121,14 +121,14 @@
             break
         path = _reserve_path(context, call, pipeline, attempts, delivery, avoided)
         if path is None:
-            # Servers that failed may do by now; dead ones are left out by the fleet.
+            # Servers that failed may have recovered; dead ones are not offered by the fleet.
             if not avoided or attempts.seconds_until_room is not None:
                 break
             avoided = frozenset()
             continue
         if ended := ended_stages(context, call, path.servers):
             path.release()
-            # As with any server that is not reached: else one that is not suspect is chosen on and on.
+            # Counted like any unreachable server. Otherwise one that is not suspect yet is chosen forever.
             attempts.unreachable_count += 1
             avoided |= ended
             continue
@@ -146,7 +146,7 @@
             if not attempts.note_failure(error):
                 break
         except (CutOff, Unauthenticated):
-            # Both say that the call has not run, which is no longer sure of one that was sent.
+            # Both errors imply that the call has not run, which is uncertain once it was sent.
             if not attempts.may_have_run:
                 raise
             if not _kept_until_deadline(context, delivery):
@@ -159,19 +159,19 @@
 
 
 def _kept_until_deadline(context: RelayContext, delivery: Delivery) -> bool:
-    """Tell whether a stream is kept for as long as its time lasts.
+    """Return whether a stream is retried until its deadline.
 
-    A call that has got nothing is best refused early: its caller may ask elsewhere. Of a stream that has
-    begun only a broken answer would be left, and its caller knows best for how long to wait: by the bounds
-    on new calls it would be cut moments before others hold the layers of a lost server.
+    A call without any event is best rejected early, because its caller can try elsewhere. A stream that
+    has begun could only be cut off, and its caller knows best how long to wait. Under the bounds for new
+    calls it would be cut moments before other servers have loaded the layers of a lost one.
     """
     return delivery.begun and Mechanism.BEGUN_WAIT not in context.without
 
 
 def _await_retry(context: RelayContext, call: Call, attempts: Attempts) -> bool:
-    """Wait until a stream that has begun may be sent once more, before it takes a place from others.
+    """Wait until a stream that has begun may be sent again, before it reserves a place.
 
-    :return: false when its time is over, or it must not be sent any more.
+    :return: false if its deadline passed, or if it must not be sent any more.
     """
     if attempts.exhausted():
         _pause(call)
@@ -188,9 +188,9 @@
 
 
 def _is_authorized(context: RelayContext, call: Call) -> bool:
-    """Tell whether what is known of keys is fresh enough to send a call.
+    """Return whether the data about keys is fresh enough to send a call.
 
-    :raises Unauthenticated: when its key was taken away.
+    :raises Unauthenticated: if its key was revoked.
     """
     try:
         context.check_authorization(call)
@@ -211,45 +211,45 @@
     delivery: Delivery,
     avoided: frozenset[BackendId],
 ) -> Path | None:
-    """Take a place on a path, at once or after a wait.
+    """Reserve a path, immediately or after a wait.
 
-    :return: the path, taken; nothing when there is none, or no room in time.
+    :return: the reserved path, or None if there is none, or no room in time.
     """
     demand = demand_of(call, pipeline)
     attempts.seconds_until_room = None
 
-    def seek_without(servers: frozenset[BackendId]) -> Path | None:
+    def reserve_without(servers: frozenset[BackendId]) -> Path | None:
         path = context.paths.choose(call.service, pipeline, demand, servers, attempts.allowed_servers())
         if path is not None:
             context.paths.take(path, pipeline)
         return path
 
-    def seek() -> Path | None:
-        return seek_without(avoided)
+    def try_reserve() -> Path | None:
+        return reserve_without(avoided)
 
     if (others := heads_to_avoid(context, call, avoided)) and (
-        path := seek_without(avoided | others)
+        path := reserve_without(avoided | others)
     ) is not None:
         return path
     if not context.wait_queues.has_waiters(call.service):
-        path = seek()
+        path = try_reserve()
         if path is not None:
             return path
     if _kept_until_deadline(context, delivery):
-        return _await_path(context, call, attempts, seek_without, avoided)
+        return _await_path(context, call, attempts, reserve_without, avoided)
     first_stages = attempts.allowed_servers()
     covered_in = context.paths.seconds_until_covered(call.service, pipeline, avoided, first_stages)
     if covered_in is None and not (attempts.may_have_run and Mechanism.BEGUN_WAIT not in context.without):
         return None
     since = delivery.last_sent_at if delivery.begun else call.arrived
     until = min(call.deadline, since + MAX_WAIT_SECONDS)
-    # What may have run cannot be refused as not run: it waits for layers that are being loaded as well.
+    # A call that may have run cannot be rejected as not run, so it also waits for layers being loaded.
     expected = max(
         covered_in or 0.0, context.wait_queues.expected_wait(call.service), _rate_limit_wait(context, call)
     )
     if now() + expected <= until and Mechanism.WAITING not in context.without:
         path = context.wait_queues.wait(
-            call, seek, until, restricted=bool(avoided) or first_stages is not None
+            call, try_reserve, until, restricted=bool(avoided) or first_stages is not None
         )
         if path is not None:
             return path
@@ -263,7 +263,7 @@
 
 
 def _rate_limit_wait(context: RelayContext, call: Call) -> float:
-    """Return how long a new stream waits where all first stages name limits; zero where one does not."""
+    """Return the wait of a new stream if all first stages are rate-limited; zero if one is not."""
     first_stages = [s for s in context.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
     ahead = context.wait_queues.count_ahead(call.service)
     return context.fleet.rate_limits.expected_wait(first_stages, ahead) or 0.0
@@ -276,21 +276,21 @@
     reserve_without: Callable[[frozenset[BackendId]], Path | None],
     avoided: frozenset[BackendId],
 ) -> Path | None:
-    """Wait for a place for a stream that has begun, until its time is over.
+    """Wait for a place for a stream that has begun, until its deadline.
 
-    Servers that failed or were full may do after a moment; dead ones are left out by the fleet.
+    Servers that failed or were full may recover after a moment; dead ones are not offered by the fleet.
 
-    :return: the path, taken; nothing when there was none in time.
+    :return: the reserved path, or None if there was none in time.
     """
     since = now()
 
-    def seek() -> Path | None:
+    def try_reserve() -> Path | None:
         return reserve_without(avoided if now() < since + RETRY_INTERVAL_SECONDS else frozenset())
 
     restricted = bool(avoided) or attempts.allowed_servers() is not None
     path = context.wait_queues.wait(
         call,
-        seek,
+        try_reserve,
         call.deadline,
         restricted,
         begun=True,
@@ -326,7 +326,7 @@
 def _attempt(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, delivery: Delivery, attempts: Attempts
 ) -> None:
-    """Make one attempt, to the end of the stream."""
+    """Make one attempt, up to the end of the stream."""
     head = run.path.servers[0]
     keep_seconds = None
     exchange = send(context, call, head, run.path, delivery.last_event)
@@ -362,27 +362,29 @@
 
 
 def _next_poll_at(call: Call, since: float, timeout: float) -> float:
-    """Return until when to wait before looking whether there is a reason to look into a stream.
+    """Return when to check next whether a waiting stream needs investigation.
 
-    :param since: since when it stands still, or was looked into last.
-    :param patience: seconds for which it may stand still.
+    :param since: when the stream stalled, or when it was last investigated.
+    :param timeout: seconds without an event after which it is investigated.
     """
     return min(call.deadline, since + timeout, now() + STALL_POLL_SECONDS)
 
 
 def _stalled(call: Call, since: float, timeout: float) -> bool:
-    """Tell whether a stream stood still for all of the patience, or its time is over."""
+    """Return whether a stream has been without an event for the timeout, or its deadline passed."""
     at = now()
     return at >= since + timeout or at >= call.deadline
 
 
 def _forward_error(call: Call, exchange: Exchange, message: Message, delivery: Delivery) -> None:
-    """Pass on a failure that the server vouches for, as a whole answer."""
+    """Forward an error answer that the server vouches for, as a complete answer."""
     pieces = []
     while (piece := exchange.read_piece(call.deadline)) is not None:
         pieces.append(piece)
     if delivery.begun:
-        raise BackendError("a stream cannot go on: the server failed", step="stream", peer=exchange.backend)
+        raise BackendError(
+            "cannot resume the stream: the server failed", step="stream", peer=exchange.backend
+        )
     delivery.connection.answer(message.status, end_to_end(message.headers), b"".join(pieces))
 
 
@@ -418,7 +420,7 @@
 def _record_failure(
     context: RelayContext, call: Call, run: Run, error: BackendError
 ) -> frozenset[BackendId]:
-    """Judge the servers of a failed attempt; return those to avoid now."""
+    """Update the state of the servers of a failed attempt, and return those to avoid now."""
     path, head = run.path, run.path.servers[0]
     server = _server_at_fault(path, error.at_fault) if isinstance(error, BackendRefused) else head
     event(
@@ -440,7 +442,7 @@
         if server is not head:
             if error.rest_seconds is not None:
                 context.fleet.rest(server, error.rest_seconds)
-            # The head says which stage did not take part, not why: one that is dead has to be known.
+            # The answer names the stage that did not take part, but not why: it may be dead.
             eventlet.spawn_n(context.diagnosis.examine, [server])
         return frozenset({server.facts.id})
     if isinstance(error, BackendUnwilling):
@@ -450,7 +452,7 @@
     if isinstance(error, BackendUnreachable):
         context.fleet.suspect(head, error.code)
     elif not head.suspect:
-        # A server that ends breaks its connections off: others have to know before they find out.
+        # A terminating server breaks off its connections. Probe it now, before others run into it.
         eventlet.spawn_n(context.diagnosis.examine_anew, [head])
     dead = {server.facts.id for server in path.servers if server.suspect}
     return frozenset(dead) or frozenset({head.facts.id})
--- a/bayglade/upstream.py
+++ b/bayglade/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: kept, looked at before use, and used by one call at a time."""
+"""Connection pool for backend servers: idle connections are checked before reuse by one call at a time."""
 
 import socket
 from collections import deque
@@ -13,18 +13,18 @@
 from bayglade.sockets import at_rest, receive
 
 CONNECT_SECONDS = 0.4
-"""A connect takes about two milliseconds on the users' links; a lost packet adds 0.2 s or more."""
+"""A connect takes about two milliseconds on the users' links; a lost packet adds at least 0.2 s."""
 USER_TIMEOUT_MS = 2000
-"""After this time without an acknowledgement the kernel gives a connection up."""
+"""The kernel closes a connection after this time without an acknowledgement."""
 DEFAULT_IDLE_SECONDS = 20.0
-"""How long a connection is kept where the server does not say."""
+"""How long an idle connection is kept if the server does not say."""
 IDLE_MARGIN = 0.5
-"""Seconds before the server's own end of an idle connection at which it is no longer used."""
+"""How long before the server's keep-alive timeout an idle connection is no longer used."""
 MAX_IDLE_AT_MOST_ONCE = 1.0
-"""A call that must not be repeated takes only a connection used this lately: one that was
-closed in the meantime would leave it open whether the call ran."""
+"""Greatest idle time of a connection for a call that must not be repeated. If the server had closed it in
+the meantime, it would be unknown whether the call ran."""
 MAX_STALE_ANSWERS = 2
-"""Answers to earlier calls that are read away before the own one."""
+"""Bound on the answers to earlier calls that are discarded before the answer to this one."""
 
 
 class PooledConnection:
@@ -42,27 +42,27 @@
         return f"<PooledConnection idle={now() - self.used_at:.1f}>"
 
     def is_clean(self) -> bool:
-        """Tell whether nothing came in while it rested: neither its end nor stray bytes."""
+        """Return whether nothing arrived while the connection was idle: neither an end nor stray bytes."""
         return at_rest(self.sock)
 
 
 class ConnectionPool:
-    """Connections at rest, by backend server."""
+    """The idle connections to backend servers."""
 
     def __init__(self) -> None:
         self.idle: dict[BackendId, deque[PooledConnection]] = {}
         self.opened = 0
         self.on_refused: Callable[[BackendId, str], None] = lambda backend, address: None
-        """Told of each server that nobody listens for at its address."""
+        """Called for each server at whose address a connect is refused: nothing listens there."""
 
         self.trusted_from = 0.0
-        """Connections that were used last before this time are not used again."""
+        """Connections that were last used before this time are not reused."""
 
     def __repr__(self) -> str:
         return f"<ConnectionPool {sum(len(kept) for kept in self.idle.values())} idle>"
 
     def has_idle(self, backend: BackendId) -> bool:
-        """Tell whether a connection to a server rests that may be used."""
+        """Return whether there is a usable idle connection to a server."""
         connections = self.idle.get(backend)
         return connections is not None and len(connections) > 0 and self._usable(connections[-1])
 
@@ -73,14 +73,14 @@
         max_idle: float = DEFAULT_IDLE_SECONDS,
         connect_seconds: float = CONNECT_SECONDS,
     ) -> PooledConnection:
-        """Take a connection that rests, or open one.
+        """Return an idle connection, or open one.
 
         :param backend: the server.
-        :param address: where it listens.
-        :param max_idle: how long the connection may have rested, in seconds; 0 to open one.
-        :param connect_seconds: how long opening one may take.
+        :param address: the address that it listens on.
+        :param max_idle: greatest idle time of the connection, in seconds; 0 opens a new one.
+        :param connect_seconds: timeout of the connect.
         :return: the connection.
-        :raises BackendUnreachable: when none can be opened.
+        :raises BackendUnreachable: if none can be opened.
         """
         connections = self.idle.get(backend)
         while connections and max_idle > 0:
@@ -91,11 +91,11 @@
         return self._open(backend, address, connect_seconds)
 
     def probe(self, backend: BackendId, address: str) -> bool:
-        """Look whether anybody listens for a server, on a connection that rests afterwards.
+        """Return whether anything listens for a server; the connection goes to the pool.
 
         :param backend: the server.
-        :param address: where it listens.
-        :return: whether somebody does.
+        :param address: the address that it listens on.
+        :return: whether a connection could be opened.
         """
         try:
             connection = self._open(backend, address, CONNECT_SECONDS)
@@ -106,11 +106,11 @@
         return True
 
     def release(self, backend: BackendId, connection: PooledConnection, keep_seconds: float | None) -> None:
-        """Let a connection rest after a whole answer.
+        """Return a connection to the pool after a complete answer.
 
         :param backend: the server.
-        :param link: the connection.
-        :param keep_seconds: how long the server keeps it, if it said so.
+        :param connection: the connection.
+        :param keep_seconds: the keep-alive timeout of the server, if it named one.
         """
         connection.used_at = now()
         seconds = DEFAULT_IDLE_SECONDS if keep_seconds is None else keep_seconds - IDLE_MARGIN
@@ -118,12 +118,12 @@
         self.idle.setdefault(backend, deque()).append(connection)
 
     def distrust_before(self, before: float) -> None:
-        """Use no connection any more that rests since before a time: another one fell silent then.
+        """Stop using connections that have been idle since before a time, after another one fell silent.
 
-        What makes one silent without an end, a middlebox that forgot them, say, hits others as well.
-        A stream sent anew onto the next silent one runs out of time.
+        What silences a connection without closing it, such as a middlebox that lost its state, affects
+        others as well. A stream resent on another silent connection would run out of time.
 
-        :param before: when the silent connection was heard last, in monotonic seconds.
+        :param before: when the silent connection last received data, in monotonic seconds.
         """
         self.trusted_from = max(self.trusted_from, before)
 
@@ -131,12 +131,12 @@
         return now() < connection.expires_at and connection.used_at > self.trusted_from
 
     def close_idle(self, backend: BackendId) -> None:
-        """Close all connections that rest to a server: one of them was silent."""
+        """Close all idle connections to a server, after one of them was silent."""
         for connection in self.idle.pop(backend, ()):
             connection.sock.close()
 
     def prune(self, backends: set[BackendId]) -> None:
-        """Close connections that rest to servers that are gone, and those past their time.
+        """Close idle connections to servers that are gone, and expired ones.
 
         :param backends: the servers to keep.
         """
@@ -173,7 +173,7 @@
 
 
 class Exchange:
-    """One call on a connection: sent, then its answer read piece by piece."""
+    """One call on a connection: the request is sent, then the answer is read in pieces."""
 
     __slots__ = ("answer", "backend", "connection", "dirty", "pool", "sent_at")
 
@@ -183,10 +183,10 @@
         self.connection = connection
         self.answer: Message | None = None
         self.sent_at = 0.0
-        """When the request went out, in monotonic seconds."""
+        """When the request was sent, in monotonic seconds."""
 
         self.dirty = False
-        """Whether the connection holds something that belongs to no call."""
+        """Whether the connection cannot be reused because data of no or another call was read from it."""
 
     def __repr__(self) -> str:
         return f"<Exchange with {self.backend} {self.answer!r}>"
@@ -196,32 +196,32 @@
 
         :param data: head and body.
         :param until: when to give up, in monotonic seconds.
-        :raises BackendError: when it broke; parts of it may have arrived.
+        :raises BackendError: if sending failed; parts of the request may have arrived.
         """
         self.sent_at = now()
         try:
             self.connection.sock.settimeout(max(0.001, until - self.sent_at))
             self.connection.sock.sendall(data)
         except OSError as error:
-            raise self._broken_error(f"the send broke: {error}") from error
+            raise self._broken_error(f"sending failed: {error}") from error
 
     def read_head(self, until: float, is_own: Callable[[Message], bool]) -> Message:
         """Wait for the head of the answer.
 
         :param until: when to give up, in monotonic seconds.
-        :param own: tells whether an answer belongs to this call.
-        :return: the answer, whose body may still be on its way.
-        :raises BackendSilent: when it did not come in time.
-        :raises BackendError: when the connection broke or holds no answer.
+        :param is_own: returns whether an answer belongs to this call.
+        :return: the answer; its body may be incomplete.
+        :raises BackendSilent: if it did not arrive in time.
+        :raises BackendError: if the connection broke, or its data is not a valid answer.
         """
         stale = 0
         while True:
             message = self._current_answer()
             if message is not None and (message.status < 200 or not is_own(message)):
-                # An interim answer, or one to an earlier call: read it away.
+                # Discard an interim answer, or an answer to an earlier call.
                 stale += message.status >= 200
                 if stale > MAX_STALE_ANSWERS or message.ends_with_connection:
-                    raise self._broken_error("an answer to another call")
+                    raise self._broken_error("received an answer to another call")
                 self._discard(message, until)
                 continue
             if message is not None:
@@ -229,15 +229,15 @@
                 self.dirty = stale > 0
                 return message
             if not self.receive(until):
-                raise self._broken_error("the connection ended before an answer")
+                raise self._broken_error("the connection closed before an answer")
 
     def read_piece(self, until: float) -> bytes | None:
         """Wait for the next piece of the body.
 
         :param until: when to give up, in monotonic seconds.
-        :return: bytes; nothing at the end of the answer.
-        :raises BackendSilent: when nothing came in time; one may go on waiting.
-        :raises BackendError: when the answer was cut or makes no sense.
+        :return: the bytes, or None at the end of the answer.
+        :raises BackendSilent: if nothing arrived in time; the caller may wait again.
+        :raises BackendError: if the answer was truncated or is invalid.
         """
         answer = self.answer
         assert answer is not None
@@ -255,9 +255,9 @@
                 self.dirty = True
 
     def close(self, keep_seconds: float | None = None) -> None:
-        """Let the connection rest if the answer was read to its end, else close it.
+        """Return the connection to the pool if the answer was read completely, otherwise close it.
 
-        :param keep_seconds: how long the server keeps it, if it said so.
+        :param keep_seconds: the keep-alive timeout of the server, if it named one.
         """
         answer = self.answer
         whole = answer is not None and answer.complete and not answer.pieces
@@ -269,7 +269,7 @@
             self.connection.sock.close()
 
     def receive(self, until: float) -> bool:
-        """Read once from the connection; tell whether it goes on."""
+        """Read once from the connection; return false if it was closed."""
         try:
             data = receive(self.connection.sock, until)
         except TimeoutError as error:
@@ -282,8 +282,8 @@
             self.connection.reader.feed(data)
         except InvalidMessage as error:
             if self.answer is None or not self.answer.complete:
-                raise self._broken_error(f"no answer in HTTP: {error.message}") from error
-            # What follows a whole answer belongs to no request.
+                raise self._broken_error(f"invalid HTTP answer: {error.message}") from error
+            # Data after a complete answer belongs to no call.
             self.dirty = True
         return True
 
@@ -294,7 +294,7 @@
     def _discard(self, message: Message, until: float) -> None:
         while not message.complete:
             if not self.receive(until):
-                raise self._broken_error("the connection ended inside an answer to another call")
+                raise self._broken_error("the connection closed inside an answer to another call")
         self.connection.reader.messages.popleft()
 
     def _timeout_error(self) -> BackendSilent:
@@ -311,14 +311,14 @@
     max_idle: float = DEFAULT_IDLE_SECONDS,
     connect_seconds: float = CONNECT_SECONDS,
 ) -> Exchange:
-    """Take a connection for one call.
+    """Start an exchange on an idle or a new connection.
 
-    :param links: connections at rest.
+    :param pool: the connection pool.
     :param backend: the server.
-    :param address: where it listens.
-    :param max_idle: how long a kept connection may have rested, in seconds.
-    :param connect_seconds: how long opening one may take.
+    :param address: the address that it listens on.
+    :param max_idle: greatest idle time of a pooled connection, in seconds.
+    :param connect_seconds: timeout of the connect.
     :return: the exchange; nothing is sent yet.
-    :raises BackendUnreachable: when the server cannot be reached.
+    :raises BackendUnreachable: if the server cannot be reached.
     """
     return Exchange(pool, backend, pool.acquire(backend, address, max_idle, connect_seconds))
