--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -12,7 +12,6 @@
 
 from bayglade import logs, platform
 from bayglade.beliefs import Beliefs, path_beliefs, server_beliefs, stop_beliefs, table_beliefs
-from bayglade.buffered_answers import relay_buffered
 from bayglade.calls import Call
 from bayglade.clock import Suspensions, keep_timers, now
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
@@ -52,6 +51,7 @@
 from bayglade.upstream import ConnectionPool
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
+from bayglade.wholes import relay_buffered
 
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -2,7 +2,7 @@
 
 This module decides whether a call may be sent again, and whether an error may
 promise that it did not run. Buffered answers are in
-:mod:`bayglade.buffered_answers`, streams in :mod:`bayglade.streams`.
+:mod:`bayglade.wholes`, streams in :mod:`bayglade.streams`.
 """
 
 import random
--- a/tests/test_taken_keys.py
+++ b/tests/test_taken_keys.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bayglade import buffered_answers
+from bayglade import wholes
 from bayglade.calls import CallHead
 from bayglade.exceptions import BackendError, BaygladeError, CutOff, Unauthenticated
 from bayglade.ids import RequestId
@@ -67,14 +67,14 @@
             raise outcome
         return outcome
 
-    monkeypatch.setattr(buffered_answers, "_attempt", attempt)
-    monkeypatch.setattr(buffered_answers, "_least_busy", lambda *_: SimpleNamespace(throttle=None))
-    monkeypatch.setattr(buffered_answers, "_record_failure", lambda *_: None)
+    monkeypatch.setattr(wholes, "_attempt", attempt)
+    monkeypatch.setattr(wholes, "_least_busy", lambda *_: SimpleNamespace(throttle=None))
+    monkeypatch.setattr(wholes, "_record_failure", lambda *_: None)
     call = scene.call()
     call.endpoint = SimpleNamespace(max_attempts=2, repeatable=True)
     connection: Any = SimpleNamespace(answer=lambda status, headers, body: told.append(status))
     try:
-        buffered_answers.relay_buffered(scene.context, call, connection)
+        wholes.relay_buffered(scene.context, call, connection)
     except BaygladeError as error:
         return told, error
     finally:
--- a/tests/test_wholes.py
+++ b/tests/test_wholes.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from bayglade import buffered_answers
 from bayglade import fleet as fleet_module
-from bayglade.buffered_answers import _least_busy, _record_failure
+from bayglade import wholes
 from bayglade.exceptions import BackendRefused
 from bayglade.fleet import Fleet
 from bayglade.ids import HallName
 from bayglade.servers import Server
+from bayglade.wholes import _least_busy, _record_failure
 from tests.server_rows import facts_of
 
 SERVICE = "plain"
@@ -27,7 +27,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, halls: list[str], seed: int) -> None:
         self.at = 100.0
-        for module in (buffered_answers, fleet_module):
+        for module in (wholes, fleet_module):
             monkeypatch.setattr(module, "now", lambda: self.at)
         self.rng = random.Random(seed)
         self.fleet = Fleet()
