--- a/bayglade/calls.py
+++ b/bayglade/calls.py
@@ -1,4 +1,4 @@
-"""Calls: what callers ask of an endpoint, and how a peer's wire says it."""
+"""Calls of callers to endpoints, and their translation to and from the HTTP of either side."""
 
 from collections.abc import Callable
 
@@ -13,27 +13,27 @@
 
 
 class CallHead(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of a caller's request says."""
+    """The parsed head of a caller's request."""
 
     id: RequestId
     host: str
     key: str | None = None
     timeout_seconds: float | None = None
-    """How long the caller waits."""
+    """How long the caller waits for the answer."""
 
     prompt_tokens: int = 0
     max_answer_tokens: int = 0
-    """Tokens that the answer has at most."""
+    """Greatest number of tokens in the answer."""
 
     expected_answer_tokens: int | None = None
-    """Tokens that the caller expects; right in the median, and often far off."""
+    """The caller's estimate of the answer's tokens; right in the median, but often far off."""
 
     last_event: int | None = None
-    """The event after which a stream goes on."""
+    """The event after which a stream is resumed."""
 
 
 class Call(msgspec.Struct, kw_only=True):
-    """A caller's request on its way; times are monotonic seconds."""
+    """A caller's request in progress; times are monotonic seconds."""
 
     head: CallHead
     endpoint: Endpoint
@@ -47,14 +47,14 @@
     headers: Headers
     body: bytes
     fingerprint: Fingerprint | None = None
-    """Names what it asks; worked out when it is first needed."""
+    """Identifies the content of the request; computed when first needed."""
 
     def __repr__(self) -> str:
         return f"<Call {self.head.id} to {self.service}>"
 
     @property
     def at_most_once(self) -> bool:
-        """Tell whether it may run at most once."""
+        """Whether the call must not be run more than once."""
         return not self.endpoint.repeatable and not self.endpoint.resumable
 
     def seconds_left(self) -> float:
@@ -63,10 +63,10 @@
 
 
 def demand_of(call: Call, pipeline: Pipeline) -> Demand:
-    """Return what a call asks of a model, as far as it is known before its answer.
+    """Return the expected size of a call, as far as it is known before the answer.
 
     :param call: the call.
-    :param pipeline: facts of the model, with the usual size of requests.
+    :param pipeline: facts of the model, with the typical size of requests.
     """
     head = call.head
     if not head.prompt_tokens:
@@ -78,7 +78,7 @@
 
 
 class Sending(msgspec.Struct, frozen=True, kw_only=True):
-    """One sending of a call to a backend server."""
+    """Parameters of one send of a call to a backend server."""
 
     backend: BackendId
     seconds: float
@@ -87,39 +87,39 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of a backend server's answer says."""
+    """The parsed head of a backend server's answer."""
 
     request: str | None
     authentic: bool
-    """Whether the server vouches for it as its own answer to a request that it ran."""
+    """Whether the server vouches for it as its answer to a request that it ran."""
 
     not_run: bool
-    """Whether the server says that it did not run the request."""
+    """Whether the server states that it did not run the request."""
 
     instance_id: str | None = None
-    """The server's own id, where it says it."""
+    """The id that the server gives for itself, if any."""
 
     at_fault: str | None = None
-    """Address of the stage that did not take part."""
+    """Address of the stage that did not take part, if any."""
 
     keep_alive_seconds: float | None = None
-    """How long the server keeps the connection."""
+    """The keep-alive timeout of the server, if it names one."""
 
     leaving: bool = False
-    """Whether the server says that it is about to end."""
+    """Whether the server announces that it is about to terminate."""
 
     rest_seconds: float | None = None
-    """For how long the server wants no more requests, where it turned this one away."""
+    """For how long the server wants no further requests, if it rejected this one."""
 
     rate_limit: float | None = None
-    """Requests a second that the server takes from all daemons together; nothing when it names no limit."""
+    """Requests per second that the server accepts from all daemons together; None if it names no limit."""
 
 
 class Dialect(msgspec.Struct, frozen=True):
-    """How callers and backend servers speak: plain functions that translate."""
+    """Functions that translate between calls and the HTTP messages of callers and backend servers."""
 
     read_call: Callable[[Message], CallHead]
-    """Raises InvalidMessage when the head lacks what every call needs."""
+    """Raises InvalidMessage if the head lacks a field that every call needs."""
 
     request_headers: Callable[[Call, Sending], Headers]
     read_answer: Callable[[Message], AnswerHead]
--- a/bayglade/completions.py
+++ b/bayglade/completions.py
@@ -1,9 +1,9 @@
-"""Completions: attempts along routes until the answer is whole.
+"""Completions: attempts on successive routes until the answer is complete.
 
-Tokens are committed by index. When an attempt fails it is fenced on every
-stage, and the next attempt goes on after the last committed token on another
-route. A frame of another request, of an older attempt or out of its index is
-dropped and counted.
+Tokens are committed by index. A failed attempt is fenced on every stage, and
+the next attempt continues after the last committed token on another route. A
+frame of another request, of an earlier attempt or with an old index is dropped
+and counted.
 """
 
 import random
@@ -41,7 +41,7 @@
 
 
 class Answer:
-    """What one completion has given so far."""
+    """The answer of one completion so far."""
 
     __slots__ = ("committed", "may_have_run", "reason", "route")
 
@@ -55,12 +55,12 @@
         return f"<Answer {len(self.committed)} tokens, {self.reason}>"
 
     def outcome(self) -> Outcome:
-        """Tell what is known of an answer that will not become whole."""
+        """Return what is known about the outcome of an answer that remains incomplete."""
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
 class Completions:
-    """Runs completions over the engines."""
+    """Runs completions on the engines."""
 
     def __init__(
         self,
@@ -86,9 +86,9 @@
         Closing the iterator cancels the work on the engines.
 
         :param request: the request.
-        :param answer: filled as tokens come; ``reason`` is set at the end.
-        :return: tokens.
-        :raises BaygladeError: when the answer cannot be made whole.
+        :param answer: updated as tokens arrive; ``reason`` is set at the end.
+        :return: the tokens.
+        :raises BaygladeError: if the answer cannot be completed.
         """
         self._budget(request).note_request()
         began = now()
@@ -97,7 +97,7 @@
         self.metrics.time("admission.wait", now() - began)
         event("DEBUG", "granted", request=request.id, group=request.group, wait=round(now() - began, 4))
         try:
-            # A daemon that was stopped while the request waited must not act on what it knew.
+            # A daemon that was suspended while the request waited must not act on outdated data.
             self.trust.check()
             for number in range(1, MAX_ATTEMPTS + 1):
                 attempt = AttemptNumber(number)
@@ -124,7 +124,7 @@
         message = self._generate_message(request, answer, attempt, route)
         before = len(answer.committed)
         started = now()
-        whole = False
+        complete = False
         try:
             for frame in self.engines.stream(message, self._gap_timeout(request)):
                 answer.may_have_run = True
@@ -137,14 +137,14 @@
                 elif isinstance(frame, engine_wire.ErrorFrame):
                     raise BackendError(frame.code, step="stage", peer=frame.backend)
                 else:
-                    whole = self._finish(frame, answer)
+                    complete = self._finish(frame, answer)
                 if request.seconds_left() < 0:
                     raise DeadlinePassed("the deadline passed", step="stream", outcome=Outcome.UNKNOWN)
-            if not whole:
+            if not complete:
                 raise BackendError("the stream ended early", step="stream", peer=route.stages[0].backend)
             self._record_speed(request, route, len(answer.committed) - before, now() - started)
         finally:
-            if not whole:
+            if not complete:
                 self._fence(request, attempt, route)
 
     def _generate_message(
@@ -178,7 +178,7 @@
         route = answer.route
         assert route is not None
         if frame.count != len(answer.committed):
-            raise BackendError("the answer is short", step="stream", peer=route.stages[0].backend)
+            raise BackendError("the answer lacks tokens", step="stream", peer=route.stages[0].backend)
         answer.reason = EndReason.LENGTH if frame.reason == EndReason.LENGTH.value else EndReason.STOP
         if frame.load is not None:
             self.admission.backends.report(route.stages[0].backend, frame.load)
@@ -213,12 +213,12 @@
         error: BackendError,
         avoided: frozenset[BackendId],
     ) -> frozenset[BackendId]:
-        """Note a failed attempt; raise when no other may follow."""
+        """Record a failed attempt; raise an error if no other attempt may follow."""
         route = answer.route
         assert route is not None
         answer.may_have_run = answer.may_have_run or error.outcome is not Outcome.NOT_RUN
         if request.seconds_left() <= 0:
-            # Silence until the caller's own deadline says nothing of the server.
+            # Silence up to the caller's deadline says nothing about the server.
             outcome = answer.outcome()
             raise DeadlinePassed("the deadline passed", step="stream", peer=error.peer, outcome=outcome)
         at_fault = self._servers_at_fault(error, route)
@@ -230,7 +230,7 @@
             raise error
         if not self._budget(request).acquire():
             raise RetryBudgetSpent(
-                "the budget for retries is spent",
+                "the retry budget is exhausted",
                 step="retry",
                 peer=error.peer,
                 outcome=answer.outcome(),
@@ -239,7 +239,7 @@
         return avoided | at_fault
 
     def _servers_at_fault(self, error: BackendError, route: Route) -> frozenset[BackendId]:
-        """Find the servers at fault: the one named, or those that do not answer."""
+        """Return the servers at fault: the one that the error names, or those that do not respond."""
         head = route.stages[0]
         later = {stage.backend: stage for stage in route.stages[1:]}
         if error.peer in later or len(route.stages) == 1 or error.step != "stream":
@@ -265,17 +265,17 @@
     def _next_route(
         self, request: Completion, answer: Answer, attempt: AttemptNumber, avoided: frozenset[BackendId]
     ) -> None:
-        """Move to another route; what was begun goes before what waits."""
+        """Move to another route; a request that has begun takes precedence over waiting ones."""
         old, answer.route = answer.route, None
         assert old is not None
         self.admission.release_route(old)
         if not self._others_cover((request.model, request.version), avoided):
-            # Only servers that failed are left: give them a moment.
+            # Only servers that failed are left; give them time to recover.
             eventlet.sleep(min(retry_delay(attempt, self.rng), max(0.0, request.seconds_left())))
         until = now() + min(ROUTE_WAIT_SECONDS, request.seconds_left())
         while answer.route is None:
             if not answer.may_have_run:
-                # Its version may have been rolled away meanwhile: asking on for it would find no room.
+                # Its version may have been replaced meanwhile, so that no server would have room for it.
                 request.version = self.admission.serving_version(request.model, request.version)
             answer.route = self._take_route(request, avoided)
             if answer.route is not None:
--- a/bayglade/disconnects.py
+++ b/bayglade/disconnects.py
@@ -1,4 +1,4 @@
-"""Presence: notices callers that hung up while their answer is being made."""
+"""Detects callers that disconnect while their request is being served."""
 
 import socket
 from collections.abc import Iterator
@@ -11,16 +11,16 @@
 from bayglade.metrics import Metrics
 
 CHECK_INTERVAL = 0.2
-"""Seconds between looks at the connections of callers: servers must know within half a second that
-a caller has left, and each look wakes the process."""
+"""Interval between checks of the callers' connections, in seconds. Servers must be told within half a
+second that a caller has disconnected, and each check wakes the process."""
 
 
 class CallerDisconnected(greenlet.GreenletExit):
-    """Thrown into the task of a request whose caller hung up."""
+    """Raised in the task of a request whose caller disconnected."""
 
 
 class DisconnectWatcher:
-    """The connections of requests being served."""
+    """Watches the connections of requests that are being served."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
@@ -28,7 +28,7 @@
         self.became_nonempty = Event()
 
     def __repr__(self) -> str:
-        return f"<Presence {len(self.watched)} watched>"
+        return f"<DisconnectWatcher {len(self.watched)} watched>"
 
     @contextmanager
     def watch(self, connection: socket.socket) -> Iterator[None]:
@@ -39,7 +39,7 @@
         task = eventlet.getcurrent()
         if not self.watched and not self.became_nonempty.ready():
             self.became_nonempty.send()
-        # The plain socket below the green one is non-blocking.
+        # The underlying socket of a green socket is non-blocking.
         self.watched[task] = connection.fd  # type: ignore[attr-defined]
         try:
             yield
@@ -47,7 +47,7 @@
             self.watched.pop(task, None)
 
     def run(self) -> None:
-        """Look at all watched connections now and then, for ever."""
+        """Check the watched connections periodically; never returns."""
         while True:
             self.became_nonempty.wait()
             self.became_nonempty = Event()
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -45,7 +45,7 @@
 from bayglade.responses import JSON_TYPE
 from bayglade.retries import jittered_retry_after
 from bayglade.rows import Changes
-from bayglade.server_termination import watch_ends
+from bayglade.server_termination import watch_server_termination
 from bayglade.settings import CallerLimits
 from bayglade.streams import relay_stream
 from bayglade.upstream import ConnectionPool
@@ -127,7 +127,7 @@
         self.usage = Usage()
         self.wait_queues = WaitQueues(self.usage, self.intake.share_of)
         self.quarantine = Quarantine(secrets.token_bytes(FINGERPRINT_KEY_BYTES), self.rng)
-        watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
+        watch_server_termination(self.fleet, self.links, self.diagnosis, self.quarantine)
         self.peers = RelayContext(
             fleet=self.fleet,
             paths=PathSelector(self.fleet, config.hall, config.without, self.rng),
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -1,9 +1,9 @@
-"""Runs: attempts at a stream, and what keeps one going that stands still.
+"""Runs are attempts at a stream; this module keeps a stalled run going where possible.
 
-A run that stands still is looked into. When a stage behind the first is dead,
-slow or about to leave, others take its layers while the first stage keeps the
-request; when the first stage is dead, or nobody in its halls has the layers,
-the run ends and the stream goes on in another one.
+A run that stalls is investigated. If a stage behind the first is dead, slow or
+about to leave, other servers take over its layers while the first stage keeps
+the request. If the first stage is dead, or no server in the halls of the path
+holds the layers, the run fails and the stream is resumed in another run.
 """
 
 from bayglade.calls import Call, demand_of
@@ -20,27 +20,26 @@
 
 PROBE_BACKOFF = 2.0
 MAX_PROBE_INTERVAL = 0.8
-"""Time between questions to the stages of one stream that stands still though all of them answer:
-doubled each time up to this bound. Each question is paid for, and a stage that other streams find
-dead in the meantime is noticed without one."""
+"""The interval between probes of a stalled stream whose stages all respond doubles up to this bound, in
+seconds. Each probe is billed, and a stage that other streams find dead meanwhile is noticed without one."""
 MIN_MOVE_INTERVAL = 0.3
-"""Seconds between two moves of one stream: each has its tokens read anew by the new stages."""
+"""Least number of seconds between two moves of a stream: after each, the new stages prefill its tokens."""
 DETOUR_RETRY_SECONDS = 0.2
-"""Time between looks of a stream that stays on its first stage while nobody else holds the layers of an
-ended one: each look is a search for a path."""
+"""Time between detour searches of a stream that stays on its first stage while no other server holds the
+layers of a terminated one: each is a path search."""
 SILENT_CONNECTION_SECONDS = 1.2
-"""A stream that stood still for so long, though nothing at its first stage explains it, is taken to
-have lost its connection: an open one may fall silent without a reset. Callers leave after 2 s."""
+"""A stream that stalled this long although its first stage does not explain it is assumed to have lost its
+connection: an open connection may fall silent without a reset. Callers disconnect after 2 s."""
 LEAVE_RETRY_SECONDS = 0.5
-"""Time until a stream that found no way round a leaving stage looks for one again: others load its layers
-within a second or two, and it serves on for longer."""
+"""Time until a stream that found no detour around a leaving stage searches again. Other servers load its
+layers within a second or two, and the stage continues to serve for longer."""
 LEAVE_SPREAD_SECONDS = 1.0
-"""Streams are moved off a leaving stage over this time, not all at once: each has its tokens
-read anew. A server that leaves serves on for two seconds and more."""
+"""Streams are moved off a leaving stage spread over this time, because after each move its tokens have to
+be prefilled again. A leaving server continues to serve for at least two seconds."""
 
 
 class Run:
-    """One attempt at a stream: the path that it has taken and the exchange with its first stage."""
+    """One attempt at a stream: its path, and the exchange with the first stage."""
 
     __slots__ = (
         "attempts",
@@ -66,44 +65,44 @@
         self.path = path
         self.attempts = attempts
         self.exchange: Exchange
-        """Set once the request is sent."""
+        """Set when the request is sent."""
 
         self.known_slow = slow_stages(path)
-        """Stages that were known to be slow when the path was taken."""
+        """Stages that were known to be slow when the path was chosen."""
 
         self.unread_server: Server | None = None
-        """The first stage, until the stream has an event."""
+        """The first stage until it has read the prompt, as shown by the first event."""
 
         self.last_event_at = now()
-        """When the last event came, or else when the run began."""
+        """When the last event arrived, or when the run was created."""
 
         self.begun = False
-        """Whether an event has come of this attempt."""
+        """Whether an event of this run has arrived."""
 
         self.first_event_at: float | None = None
-        """When its first event came on its present path."""
+        """When the first event on the current path arrived."""
 
         self.path_since = now()
-        """When its present path was taken, just before the request was sent over it."""
+        """When the current path was chosen, just before the request was sent over it."""
 
         self.crash_recorded = False
-        """Whether the end of a stage of its present path was put down to it."""
+        """Whether a possible crash of a stage of the current path was recorded against the request."""
 
         self.avoided: frozenset[BackendId] = frozenset()
         self.fleet_version = -1
-        """State of the fleet for which leaving stages were looked for."""
+        """Version of the fleet for which leaving stages were last looked up."""
 
         self.leave_at: float | None = None
-        """When the request is moved off stages that leave."""
+        """When the request is to be moved off leaving stages."""
 
         self.next_move_at = 0.0
-        """Not moved again before this time."""
+        """The request is not moved again before this time."""
 
         self.next_detour_at = 0.0
-        """Other stages are not sought for those of an ended one before this time."""
+        """A detour around a terminated stage is not searched for before this time."""
 
         self.next_probe_at = 0.0
-        """Stages that answered are not asked again before this time."""
+        """Stages that responded are not probed again before this time."""
 
         self.probe_interval = 0.0
 
@@ -111,10 +110,10 @@
         return f"<Run on {self.path!r}>"
 
     def move(self, path: Path, since: float) -> None:
-        """Leave the path for another one, which has been taken.
+        """Replace the path by another one that is already reserved.
 
         :param path: the new path.
-        :param since: when the first stage was told to, in monotonic seconds.
+        :param since: when the first stage was told to change the path, in monotonic seconds.
         """
         self.path.release()
         self.path = path
@@ -122,24 +121,24 @@
         self.known_slow |= slow_stages(path)
 
     def should_leave_dead_stage(self) -> bool:
-        """Tell whether a stage of the path is known to be dead, and the stream may be moved now."""
+        """Return whether a stage of the path is known to be dead and the stream may be moved now."""
         may_move = now() >= max(self.next_move_at, self.next_detour_at)
         return may_move and any(server.suspect for server in self.path.servers)
 
     def start(self, exchange: Exchange) -> None:
-        """Note that the request was sent; its first stage has it to read now."""
+        """Record that the request was sent; its first stage now has to read the prompt."""
         self.exchange = exchange
         self.unread_server = self.path.servers[0]
         self.unread_server.unread += 1
 
     def note_read(self) -> None:
-        """Note that its first stage has read the request, or will not."""
+        """Record that the first stage has read the prompt, or will not."""
         if self.unread_server is not None:
             self.unread_server.unread -= 1
             self.unread_server = None
 
     def note_event(self) -> None:
-        """Note that the stream goes on."""
+        """Record that an event arrived."""
         self.begun = True
         self.note_read()
         self.last_event_at = now()
@@ -149,19 +148,20 @@
         self.probe_interval = 0.0
 
     def note_probed(self, timeout: float) -> None:
-        """Note that all stages answered though the stream stands still.
+        """Record that all stages responded although the stream is stalled.
 
-        :param patience: seconds without an event after which it was looked into.
+        :param timeout: seconds without an event after which it was investigated.
         """
         self.probe_interval = min(MAX_PROBE_INTERVAL, max(timeout, PROBE_BACKOFF * self.probe_interval))
         self.next_probe_at = now() + self.probe_interval
 
 
 def leave_departing_stages(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> None:
-    """Move a running stream off stages that leave, before they end.
+    """Move a running stream off leaving stages before they terminate.
 
-    A stream that cannot be moved stays: such a stage serves on for a while. One for which there is no way
-    round looks again: left on its stage to the end, all streams there would seek room at the same moment.
+    A stream that cannot be moved stays, because a leaving stage continues to serve for a while. If there is
+    no detour yet, it searches again later. If all streams stayed on the stage until it terminates, they
+    would all look for room at the same moment.
     """
     if run.fleet_version != context.fleet.changed:
         run.fleet_version = context.fleet.changed
@@ -183,10 +183,10 @@
 def _leave_avoided_stages(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, reason: str, across_halls: bool = False
 ) -> bool:
-    """Move a stream off the stages that it avoids, if others have room.
+    """Move a stream off the stages that it avoids, if other servers have room.
 
-    :param reason: what is wrong with them, for the log.
-    :param across: whether stages of other halls may step in.
+    :param reason: what is wrong with these stages, for the log.
+    :param across_halls: whether servers of other halls may be used.
     :return: whether it was moved.
     """
     if reason == "dead" and Mechanism.LEAVE_DEAD in context.without:
@@ -198,9 +198,9 @@
 def _find_detour(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, across_halls: bool = False
 ) -> Path | None:
-    """Find a path with room round the stages that a stream avoids, if it may be moved now.
+    """Find a path with room that bypasses the avoided stages, if the stream may be moved now.
 
-    :param across: whether stages of other halls may step in.
+    :param across_halls: whether servers of other halls may be used.
     """
     if now() < run.next_move_at or context.quarantine.holds(call):
         return None
@@ -210,7 +210,7 @@
 def _reroute(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, path: Path, reason: str
 ) -> bool:
-    """Have a stream go on over another path; tell whether its first stage took that."""
+    """Reroute a running stream to another path; return whether its first stage accepted that."""
     since = now()
     run.next_move_at = since + MIN_MOVE_INTERVAL
     head = run.path.servers[0].facts
@@ -232,7 +232,7 @@
 
 
 def _departing_stages(run: Run) -> frozenset[BackendId]:
-    """Return the stages behind the first that leave and were not tried to be left before."""
+    """Return the stages behind the first that are leaving and that the run does not avoid yet."""
     behind = run.path.servers[1:]
     return frozenset(s.facts.id for s in behind if s.leaving and s.facts.id not in run.avoided)
 
@@ -240,13 +240,13 @@
 def investigate_stall(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, timeout: float
 ) -> None:
-    """Find out why a stream stands still, and move it away from a dead stage.
+    """Find out why a stream is stalled, and move it off a dead stage.
 
-    :param patience: seconds without an event after which it is looked into.
-    :raises BackendError: when it has to be sent anew, or its time is over.
+    :param timeout: seconds without an event after which it is investigated.
+    :raises BackendError: if it has to be sent again, or its deadline passed.
     """
     if call.seconds_left() <= 0:
-        raise BackendSilent("no whole answer in time", step="stream", peer=run.exchange.backend)
+        raise BackendSilent("no complete answer in time", step="stream", peer=run.exchange.backend)
     dead = find_dead_stages(context, call, run, timeout)
     if dead:
         record_possible_crash(context, call, run, next(s for s in run.path.servers if s.facts.id in dead))
@@ -273,14 +273,16 @@
     ):
         return
     silent = next(server for server in run.path.servers if server.facts.id in dead)
-    _fail_or_stay(context, call, pipeline, run, silent, "no other stages for those of a dead one")
+    _fail_or_stay(
+        context, call, pipeline, run, silent, "no other server can take over the layers of a dead stage"
+    )
 
 
 def record_possible_crash(context: RelayContext, call: Call, run: Run, stage: Server) -> None:
-    """Note that a stage may have ended under a call.
+    """Record that a stage may have crashed under a call.
 
-    It ends one of its stages at most, and one behind the first may have ended before the request was sent,
-    as is likely where several end at once: innocent requests would be held back for such ends.
+    A call crashes at most one of its stages. Where several servers crash at once, a stage behind the first
+    has probably crashed before the request was sent, and recording it would hold back innocent requests.
     """
     if run.crash_recorded or (stage is not run.path.servers[0] and context.quarantine.many_ended(call)):
         return
@@ -291,15 +293,15 @@
 def _fail_or_stay(
     context: RelayContext, call: Call, pipeline: Pipeline, run: Run, stage: Server, reason: str
 ) -> None:
-    """End a run that a stage keeps from going on, if the call can go on elsewhere.
+    """Fail a run that a dead stage holds up, if the call can be resumed elsewhere.
 
-    A stage that is silent may be out of reach for a moment, so a stream that cannot
-    go on elsewhere stays until the stage is surely gone: ended by this daemon, it
-    would be lost although its server lives. One that has begun stays even then, while
-    its first stage lives: that one keeps what it has read, and others may hold the
-    layers in a moment.
+    A silent stage may only be unreachable for a moment. If the stream cannot be resumed
+    elsewhere, it stays until the stage has certainly terminated; failed by this daemon, it
+    would be lost although the server may live. A stream that has begun stays even longer if
+    its first stage lives, because that stage keeps what it has read and other servers may
+    soon hold the missing layers.
 
-    :raises BackendError: when the run is to end.
+    :raises BackendError: if the run has to end.
     """
     if _can_resend(context, call, pipeline, run):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
@@ -311,12 +313,12 @@
 
 
 def _may_stay(context: RelayContext, call: Call) -> bool:
-    """Tell whether a begun stream may wait until others hold the layers of an ended stage."""
+    """Return whether a stream that has begun may wait until others hold a terminated stage's layers."""
     return Mechanism.BEGUN_WAIT not in context.without and not context.quarantine.holds(call)
 
 
 def _can_resend(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> bool:
-    """Tell whether a call may be sent anew, and has a place elsewhere."""
+    """Return whether a call may be sent again, and there is a path with room elsewhere."""
     if call.at_most_once or not run.attempts.can_retry(context):
         return False
     silent = frozenset(s.facts.id for s in run.path.servers if s.suspect)
@@ -329,25 +331,25 @@
 
 
 def leave_slow_stages(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> None:
-    """Move a stream that is waited for off stages that turned slow, if there are others with room.
+    """Move a stalled stream off stages that have become slow, if others have room.
 
-    Stages that were known to be slow when the path was chosen were the best there were.
+    Stages that were already known to be slow when the path was chosen were the best available.
 
-    :raises BackendError: when its first stage is one, and another can begin the answer.
+    :raises BackendError: if the first stage has become slow, and another one can begin the answer.
     """
     head = run.path.servers[0]
     slow = slow_stages(run.path) - run.known_slow
     if head.facts.id in slow and not run.begun and _can_resend(context, call, pipeline, run):
-        raise BackendError("the first stage has turned slow", step="stream", peer=head.facts.id)
+        raise BackendError("the first stage has become slow", step="stream", peer=head.facts.id)
     behind = slow - {head.facts.id}
     if behind:
-        # Others may have no room now and have some at the next look.
+        # Other servers that have no room now may have some at the next attempt.
         run.avoided |= behind
         _leave_avoided_stages(context, call, pipeline, run, "slow")
 
 
 def is_connection_silent(context: RelayContext, call: Call, run: Run) -> bool:
-    """Tell whether a stream stands still though its first stage neither waits nor lets it wait."""
+    """Return whether a stream is stalled although its first stage reports no queue and no stall of it."""
     if now() - run.last_event_at < SILENT_CONNECTION_SECONDS:
         return False
     finding = context.diagnosis.findings.get(run.path.servers[0].facts.id)
@@ -356,12 +358,12 @@
 
 
 def slow_stages(path: Path) -> frozenset[BackendId]:
-    """Return the stages of a path that say they are a good deal slower than usual."""
+    """Return the stages of a path that report that they are much slower than usual."""
     return frozenset(s.facts.id for s in path.servers if s.pace > SLOW_PACE)
 
 
 def find_dead_stages(context: RelayContext, call: Call, run: Run, timeout: float) -> frozenset[BackendId]:
-    """Return the stages of a stream that are dead, by what is known or else by asking them."""
+    """Return the stages of a stream that are known to be dead, or are found dead by probing them."""
     known = frozenset(s.facts.id for s in run.path.servers if s.suspect)
     if known or now() < run.next_probe_at:
         return known
--- a/bayglade/server_termination.py
+++ b/bayglade/server_termination.py
@@ -1,4 +1,4 @@
-"""Ends: how a daemon finds out that a backend server has surely ended, or lives."""
+"""Detection of backend servers that have certainly terminated, or are alive."""
 
 import eventlet
 
@@ -10,31 +10,33 @@
 from bayglade.upstream import ConnectionPool
 
 
-def watch_ends(fleet: Fleet, pool: ConnectionPool, diagnosis: Diagnosis, quarantine: Quarantine) -> None:
-    """Have the quarantine told of servers that ended, and of those that answer.
+def watch_server_termination(
+    fleet: Fleet, pool: ConnectionPool, diagnosis: Diagnosis, quarantine: Quarantine
+) -> None:
+    """Report servers that terminated, and servers that respond, to the quarantine.
 
-    :param fleet: tells of later starts, and of servers that are no longer listed.
-    :param links: tells of addresses at which nobody listens.
-    :param diagnosis: tells of reports.
-    :param quarantine: told of all this.
+    :param fleet: reports restarted servers, and servers that are no longer listed.
+    :param pool: reports addresses at which connects are refused.
+    :param diagnosis: reports servers that answer a probe.
+    :param quarantine: the receiver of these reports.
     """
 
     def refused(backend: BackendId, address: str) -> None:
         server = fleet.servers.get(backend)
         if server is None or server.facts.address != address or server.leaving:
             return
-        # A stream that two servers cut within a second may go on at once, and need not wait until the
-        # last one has been silent for long enough.
+        # A stream that two servers cut within a second can then be resumed at once. Otherwise it would wait
+        # until the second server has been silent for long enough to be considered terminated.
         server.refused = True
         quarantine.server_ended(server.facts.key)
 
     def unlisted(server: Server) -> None:
         facts = server.facts
         if facts.key in quarantine.unsure:
-            eventlet.spawn_n(look, server)
+            eventlet.spawn_n(probe_unlisted, server)
 
-    def look(server: Server) -> None:
-        # Some servers leave by losing their entry only, and serve on for a while.
+    def probe_unlisted(server: Server) -> None:
+        # Some servers leave by removing only their entry, and continue to serve for a while.
         if not pool.probe(server.facts.id, server.facts.address):
             quarantine.server_ended(server.facts.key)
 
--- a/bayglade/stall_timeouts.py
+++ b/bayglade/stall_timeouts.py
@@ -1,25 +1,25 @@
-"""Stall timeouts: how long a stream may stand still before it is looked into.
+"""Adaptive timeouts after which a stalled stream is investigated.
 
-A look asks several servers, and each question is paid for. What is usual
-depends on servers and load, so it is learned from the streams of this daemon.
+An investigation probes several servers, and each probe is billed. Usual delays
+depend on the servers and their load, so they are learned from this daemon's streams.
 """
 
 MIN_TIMEOUT = 0.06
-"""Seconds; less than this is within what an entry host itself may be late."""
+"""In seconds. A shorter delay may be due to the entry host itself."""
 FIRST_EVENT_FRACTIONS = (0.2, 0.5)
-"""Least and most patience for the first event, as parts of the aim: with the most, as much time is
-left to begin anew elsewhere."""
+"""Least and greatest timeout for the first event, as fractions of the latency objective. The greatest
+leaves as much time again for another attempt elsewhere."""
 GAP_FRACTIONS = (0.25, 0.75)
-"""The same for later events, as parts of the longest good pause: a stream that has to be moved is
-late in any case, so a later look costs little."""
+"""The same for later events, as fractions of the longest pause allowed between them. A stream that has to
+be moved exceeds that in any case, so a later investigation costs little."""
 MAX_DEVIATIONS = 4.0
-"""Mean deviations above the mean that still are usual."""
+"""Number of mean deviations above the mean that are still considered usual."""
 SMOOTHING = 0.02
-"""Weight of the newest event in what is usual."""
+"""Weight of the latest delay in the moving averages."""
 
 
 class WaitEstimate:
-    """What is usual of one kind of waiting, in seconds."""
+    """Moving averages of one kind of delay and its mean deviation, in seconds."""
 
     __slots__ = ("deviation", "mean")
 
@@ -28,23 +28,23 @@
         self.deviation = 0.0
 
     def __repr__(self) -> str:
-        return f"<Usual {self.mean:.3f} s, give or take {self.deviation:.3f}>"
+        return f"<WaitEstimate {self.mean:.3f} s, deviation {self.deviation:.3f}>"
 
     def update(self, seconds: float) -> None:
-        """Take in one wait."""
+        """Update the averages with one delay."""
         error = seconds - self.mean
         self.mean += SMOOTHING * error
         self.deviation += SMOOTHING * (abs(error) - self.deviation)
 
     def upper_bound(self) -> float:
-        """Return the longest wait that still is usual."""
+        """Return the longest delay that is still considered usual."""
         return self.mean + MAX_DEVIATIONS * self.deviation
 
 
 class StallTimeouts:
-    """How patient a daemon is with its streams.
+    """The stall timeouts of one daemon's streams.
 
-    :param learns: whether it goes by what is usual, or always by the least.
+    :param adaptive: whether they follow the measured delays; otherwise they are always the least.
     """
 
     def __init__(self, adaptive: bool = True) -> None:
@@ -56,23 +56,23 @@
         return f"<StallTimeouts {self.first_events!r} {self.gaps!r}>"
 
     def first_event_timeout(self, aim: float) -> float:
-        """Return the patience with a stream that has no event yet.
+        """Return the timeout of a stream that has no event yet.
 
-        :param aim: seconds to the first event of a good answer.
+        :param aim: the latency objective for the first event, in seconds.
         """
         return self._clamp(self.first_events, FIRST_EVENT_FRACTIONS, aim)
 
     def gap_timeout(self, aim: float) -> float:
-        """Return the patience with a stream that has begun.
+        """Return the timeout of a stream that has begun.
 
-        :param aim: the longest pause of a good answer, in seconds.
+        :param aim: the longest pause allowed between events, in seconds.
         """
         return self._clamp(self.gaps, GAP_FRACTIONS, aim)
 
     def record(self, seconds: float, begun: bool) -> None:
-        """Take in how long an event was waited for."""
+        """Record the delay of an event."""
         (self.gaps if begun else self.first_events).update(seconds)
 
     def _clamp(self, estimate: WaitEstimate, fractions: tuple[float, float], aim: float) -> float:
-        lowest, most = (max(MIN_TIMEOUT, part * aim) for part in fractions)
-        return min(most, max(lowest, estimate.upper_bound())) if self.adaptive else lowest
+        lowest, highest = (max(MIN_TIMEOUT, fraction * aim) for fraction in fractions)
+        return min(highest, max(lowest, estimate.upper_bound())) if self.adaptive else lowest
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -11,7 +11,7 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, Incarnation
 from bayglade.quarantine import Quarantine
-from bayglade.server_termination import watch_ends
+from bayglade.server_termination import watch_server_termination
 from bayglade.servers import Server, ServerFacts
 from tests.test_quarantine import call
 from tests.test_tiling import SERVICE
@@ -36,7 +36,7 @@
         self.links: Any = SimpleNamespace(probe=lambda backend, address: self.reached)
         self.diagnosis: Any = SimpleNamespace()
         self.quarantine = Quarantine(b"key", random.Random(1))
-        watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
+        watch_server_termination(self.fleet, self.links, self.diagnosis, self.quarantine)
         self.quarantine.broke_off(call(), FACTS.key, None)
 
     @property
