--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -1,15 +1,10 @@
-"""Streams that have begun wait for as long as their time lasts; only new calls are refused early.
-
-After a release of many servers the daemons cut streams whose callers still waited, by bounds that are made
-for calls which have got nothing yet: 1.5 s of waiting, the expected wait, a number of tries, the budget for
-repeats. A call that has got nothing is told so at once and may ask elsewhere; of a stream that has begun
-only a broken answer is left. Each had more than 10 s to its deadline, and room came moments later:
-
-    31.235  attempt failed  no other stages for those of a dead one
-    31.824  sent, after event 81, 13.6 s left
-    31.833  attempt failed  the server answered 503
-    32.691  no room  expected 0.41  waited 1.501
-    32.691  request failed  cut true
+"""Streams that have begun are retried until their deadline; only new calls are rejected early.
+
+After a release of many servers, daemons cut streams whose callers were still waiting. They applied the
+bounds for new calls: 1.5 s of waiting, the expected wait, the number of attempts, and the retry budget. A
+new call that is rejected at once can go elsewhere, but a stream that has begun is cut off. Each of these
+streams had more than 10 s left until its deadline, and room came moments later. One failed on a dead stage,
+was resent after event 81 with 13.6 s left, was rejected with 503, and was cut after 1.5 s without room.
 """
 
 import random
@@ -45,16 +40,16 @@
 from tests.test_tiling import SERVICE, pipeline, placed, servers
 
 WAIT = 0.05
-"""How long new calls wait for room here, in seconds."""
+"""How long new calls wait for room in these tests, in seconds."""
 LATER = 6 * WAIT
 FULL = 1e9
-"""Tokens times layers that fill any server."""
+"""Cache load, in tokens times layers, that exceeds the capacity of any server."""
 
 Step = Callable[[], None]
 
 
 class Scene:
-    """A daemon with servers and a line, and one stream whose attempts end as the test says."""
+    """A daemon with servers and wait queues, and one stream whose attempts end as the test specifies."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(streams, "MAX_WAIT_SECONDS", WAIT)
@@ -82,7 +77,7 @@
             metrics=SimpleNamespace(count=lambda name: None, observe=lambda name, seconds: None),
         )
         self.steps: list[Step] = []
-        """What becomes of each attempt; one beyond these brings the whole answer."""
+        """How each attempt ends; any further one completes the answer."""
 
         self.attempts = 0
         self.error: BaygladeError | None = None
@@ -95,31 +90,31 @@
             self.steps[self.attempts - 1]()
 
     def begin(self) -> None:
-        """Have the caller get the first event."""
+        """Deliver the first event to the caller."""
         self.delivery.begun = True
         self.delivery.last_sent_at = now()
 
     def break_off(self) -> None:
-        """End an attempt of a stream that has begun, in the middle."""
+        """Fail an attempt of a stream that has begun."""
         self.begin()
-        raise BackendError("no other stages for those of a dead one", step="stream", peer="s")
+        raise BackendError("a stage is dead", step="stream", peer="s")
 
     def break_off_full(self) -> None:
-        """End an attempt in the middle while no server has room."""
+        """Fail an attempt of a stream that has begun, while no server has room."""
         self.fill()
         self.break_off()
 
     def refuse(self) -> None:
-        """Have the first stage turn an attempt away."""
+        """Let the first stage reject an attempt."""
         raise BackendRefused("the server answered 503", step="answer", peer="s")
 
     def fill(self, tokens: float = FULL) -> None:
-        """Fill all servers, or empty them with less than nothing."""
+        """Fill all servers, or empty them with a negative number."""
         for server in self.fleet.of(SERVICE):
             server.cached += tokens
 
     def unload(self, reason: str | None = "not loaded yet") -> None:
-        """Have no server hold layers, or each its own again."""
+        """Exclude all servers, or include them again if no reason is given."""
         for server in self.fleet.of(SERVICE):
             server.excluded = reason
 
@@ -162,7 +157,7 @@
         return task
 
     def at_rest(self) -> bool:
-        """Tell whether all places were given back, and nobody waits."""
+        """Return whether all places were released and no request waits."""
         taken = any(server.cached or server.in_flight for server in self.fleet.of(SERVICE))
         return not taken and not self.wait_queues.waiting()
 
@@ -215,7 +210,7 @@
     assert served(scene, task)
 
 
-def test_a_begun_stream_waits_for_the_budget_for_repeats(scene: Scene) -> None:
+def test_a_begun_stream_waits_for_the_retry_budget(scene: Scene) -> None:
     def broken_and_spent() -> None:
         scene.budget.floor = scene.budget.fraction = 0.0
         scene.break_off()
@@ -223,14 +218,14 @@
     task = scene.start(broken_and_spent)
     eventlet.sleep(LATER)
     assert scene.attempts == 1
-    # Without a repeat that it may use, it takes no place from others.
+    # While it has no retry left, it reserves no place.
     assert scene.at_rest()
     scene.budget.floor = 1.0
     assert served(scene, task)
     assert scene.attempts == 2
 
 
-def test_a_begun_stream_is_not_ended_by_how_often_it_was_turned_away(
+def test_a_begun_stream_is_not_ended_by_the_number_of_rejections(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(streams, "FULL_STAGE_SECONDS", 0.01)
@@ -241,7 +236,7 @@
     assert scene.attempts == refusals + 2
 
 
-def test_a_begun_stream_that_is_turned_away_again_and_again_pauses(
+def test_a_begun_stream_that_is_rejected_repeatedly_pauses(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(streams, "FULL_STAGE_SECONDS", 0.0)
@@ -253,7 +248,7 @@
     assert scene.at_rest()
 
 
-def test_a_begun_stream_is_not_ended_by_stages_that_turn_out_to_have_ended(
+def test_a_begun_stream_is_not_ended_by_stages_found_terminated(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(streams, "RETRY_INTERVAL_SECONDS", 0.02, raising=False)
@@ -271,7 +266,7 @@
 
 
 def cut_off(*_: object) -> None:
-    raise CutOff("what is known here of keys is too old", step="intake")
+    raise CutOff("the data about keys is too old", step="intake")
 
 
 def test_a_begun_stream_waits_while_keys_are_not_trusted(scene: Scene) -> None:
@@ -282,15 +277,15 @@
     task = scene.start(broken_and_cut_off, cut_off)
     eventlet.sleep(LATER)
     assert scene.attempts == 1
-    # It takes no place from others in the meantime.
+    # Meanwhile it reserves no place.
     assert scene.at_rest()
     scene.context.check_authorization = lambda call: None
     assert served(scene, task)
-    # The second attempt found the keys old in the moment of its sending.
+    # The second attempt found the data about keys too old just before it was sent.
     assert scene.attempts == 3
 
 
-def test_a_begun_stream_whose_key_was_taken_away_is_not_sent_anew(scene: Scene) -> None:
+def test_a_begun_stream_whose_key_was_revoked_is_not_resent(scene: Scene) -> None:
     def taken_away(call: Any) -> None:
         raise Unauthenticated("no client account has this key", step="authenticate")
 
@@ -306,7 +301,7 @@
     assert scene.at_rest()
 
 
-def test_a_call_that_may_have_run_is_not_told_that_it_has_not(scene: Scene) -> None:
+def test_a_call_that_may_have_run_is_not_reported_as_not_run(scene: Scene) -> None:
     def broken() -> None:
         raise BackendError("the connection broke", step="receive", peer="s")
 
@@ -316,7 +311,7 @@
     assert isinstance(scene.error, BackendError)
 
 
-def test_a_begun_stream_ends_with_its_time(scene: Scene) -> None:
+def test_a_begun_stream_ends_at_its_deadline(scene: Scene) -> None:
     task = scene.start(scene.break_off_full, seconds=LATER)
     with eventlet.Timeout(5.0):
         task.wait()
@@ -352,7 +347,7 @@
     assert scene.wait_queues.waiting() == 0
 
 
-def test_a_stream_that_has_not_begun_is_refused_early_as_before(scene: Scene) -> None:
+def test_a_stream_that_has_not_begun_is_rejected_early(scene: Scene) -> None:
     scene.fill()
     since = now()
     task = scene.start()
@@ -362,7 +357,7 @@
     assert now() - since < LATER
 
 
-def test_a_stream_that_has_not_begun_is_refused_at_once_where_layers_are_missing(scene: Scene) -> None:
+def test_a_stream_that_has_not_begun_is_rejected_at_once_if_layers_are_missing(scene: Scene) -> None:
     scene.unload()
     task = scene.start()
     with eventlet.Timeout(WAIT):
@@ -370,7 +365,7 @@
     assert isinstance(scene.error, NoRoute)
 
 
-def wait_in_line(scene: Scene, order: list[str], name: str, group: str, begun: bool) -> None:
+def wait_in_queue(scene: Scene, order: list[str], name: str, group: str, begun: bool) -> None:
     def wait() -> None:
         call = scene.call(group=group)
         place = scene.wait_queues.wait(
@@ -388,10 +383,10 @@
     scene: Scene,
 ) -> None:
     order: list[str] = []
-    # The account of the streams has had the more service.
+    # The streams' account has used more service.
     scene.wait_queues.usage.charge(GroupPath("g"), 1000.0)
     for name, group, begun in [("new", "g", False), ("begun", "g", True), ("other", "h", False)]:
-        wait_in_line(scene, order, name, group, begun)
+        wait_in_queue(scene, order, name, group, begun)
     for _ in range(3):
         scene.__dict__["places"].append(object())
         scene.wait_queues.grant_places(SERVICE)
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -1,12 +1,9 @@
-"""Completions whose version goes away before anything of them has run.
+"""Completions whose model version is replaced before any part of them has run.
 
-A model was rolled from one version to another and back while callers asked. One daemon had not
-heard yet that two servers held the new version, and sent a request to the last one with the old
-version, which was just being loaded too. The request kept asking for the old version, which
-nobody held any more, for two seconds and failed as if there were no room. Seen once, in a run of
-all tests, with these words:
-
-    503 overloaded, no other route of guide has room (step retry, 0 tokens)
+A model was rolled from one version to another and back while callers sent requests. One daemon did not
+know yet that two servers held the new version, and sent a request to the last server with the old one,
+which was just being reloaded as well. The request asked for the old version, which no server held any
+more, for two seconds, and then failed as if there were no room ("no other route of guide has room").
 """
 
 import random
@@ -35,7 +32,7 @@
 
 
 class Rolling:
-    """Two servers that go over to the new version; the second is known to do so only later."""
+    """Two servers that switch to the new version; the daemon learns about the second one only later."""
 
     def __init__(self, backends: Backends) -> None:
         self.backends = backends
@@ -45,23 +42,23 @@
         return wire.Load(0, 0, SLOTS, versions=[NEW])
 
     def cancel(self, stage: wire.Stage, message: wire.Cancel) -> None:
-        """Nothing runs that could be cancelled."""
+        """Do nothing, because no attempt is running."""
 
     def stream(self, order: wire.Generate, gap: float) -> Iterator[wire.Frame]:
         self.asked.append(order.version)
         if order.version == OLD:
-            eventlet.spawn_after(0.1, self.tell)
+            eventlet.spawn_after(0.1, self.report_versions)
             raise BackendRefused("loading", step="stage", peer=order.stages[0].backend)
         for index in range(order.max_tokens):
             yield wire.TokenFrame(order.request, order.attempt, index, "t")
         yield wire.EndFrame(order.request, order.attempt, order.max_tokens, "length")
 
-    def tell(self) -> None:
+    def report_versions(self) -> None:
         for state in self.backends.states.values():
             self.backends.report(state.id, self.load(state.facts.address))
 
 
-def test_a_request_of_which_nothing_ran_takes_the_version_that_is_served_now() -> None:
+def test_a_request_that_has_not_run_takes_the_version_served_now() -> None:
     rng = random.Random(1)
     backends = Backends(rng)
     admission = Admission(backends, Usage(), rng, "h1")
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""What shows that a server has ended, and what does not."""
+"""Evidence that a server has terminated, and what is not evidence of it."""
 
 import random
 from types import SimpleNamespace
@@ -27,16 +27,16 @@
 
 
 class Scene:
-    """A daemon whose request was broken off by a server a moment ago."""
+    """A daemon one of whose requests was just broken off by a server."""
 
     def __init__(self) -> None:
         self.fleet = Fleet()
         self.fleet.take([FACTS], [], outage=False)
         self.reached = True
-        self.links: Any = SimpleNamespace(probe=lambda backend, address: self.reached)
+        self.pool: Any = SimpleNamespace(probe=lambda backend, address: self.reached)
         self.diagnosis: Any = SimpleNamespace()
         self.quarantine = Quarantine(b"key", random.Random(1))
-        watch_server_termination(self.fleet, self.links, self.diagnosis, self.quarantine)
+        watch_server_termination(self.fleet, self.pool, self.diagnosis, self.quarantine)
         self.quarantine.broke_off(call(), FACTS.key, None)
 
     @property
@@ -53,45 +53,45 @@
     return Scene()
 
 
-def test_an_address_where_nobody_listens_shows_it(scene: Scene) -> None:
-    scene.links.on_refused(FACTS.id, FACTS.address)
+def test_a_refused_connect_is_evidence(scene: Scene) -> None:
+    scene.pool.on_refused(FACTS.id, FACTS.address)
     assert scene.ended()
     assert scene.server.ended(0.0)
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:2"])
-def test_an_address_that_it_had_before_shows_nothing(scene: Scene, address: str) -> None:
-    scene.links.on_refused(FACTS.id, address)
+def test_a_refused_connect_at_an_earlier_address_is_not_evidence(scene: Scene, address: str) -> None:
+    scene.pool.on_refused(FACTS.id, address)
     assert not scene.ended()
 
 
-def test_one_that_said_it_leaves_ends_by_itself(scene: Scene) -> None:
+def test_a_server_that_announced_to_leave_has_not_crashed(scene: Scene) -> None:
     scene.fleet.mark_leaving(scene.server, "listed")
-    scene.links.on_refused(FACTS.id, FACTS.address)
+    scene.pool.on_refused(FACTS.id, FACTS.address)
     assert not scene.ended()
 
 
-def test_a_later_start_shows_it(scene: Scene) -> None:
+def test_a_restart_is_evidence(scene: Scene) -> None:
     again = msgspec.structs.replace(FACTS, incarnation=Incarnation(6))
     scene.fleet.take([again], [], outage=False)
     assert scene.ended()
 
 
 @pytest.mark.parametrize("reached", [True, False])
-def test_an_entry_that_is_gone_shows_it_unless_it_is_reached(scene: Scene, reached: bool) -> None:
+def test_a_removed_entry_is_evidence_unless_the_server_is_reached(scene: Scene, reached: bool) -> None:
     scene.reached = reached
     scene.fleet.take([], [FACTS.id], outage=False)
     assert scene.ended() is not reached
 
 
-def test_an_entry_that_lapsed_in_an_outage_shows_nothing(scene: Scene) -> None:
+def test_an_entry_that_lapsed_in_an_outage_is_not_evidence(scene: Scene) -> None:
     scene.reached = False
     scene.fleet.take([], [FACTS.id], outage=True)
     assert not scene.ended()
 
 
-def test_a_report_shows_that_it_lives(scene: Scene) -> None:
+def test_a_report_is_evidence_that_it_lives(scene: Scene) -> None:
     scene.diagnosis.on_answer(scene.server, float("inf"))
     assert not scene.quarantine.suspects(call())
-    scene.links.on_refused(FACTS.id, FACTS.address)
+    scene.pool.on_refused(FACTS.id, FACTS.address)
     assert not scene.quarantine.suspects(call())
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -1,11 +1,7 @@
-"""A daemon that was stopped while it waited for word reads what others told it before it sends.
+"""A daemon that was suspended while it waited for crash reports reads them before it sends a request.
 
-A soak (focused acts, seed 1003) froze a daemon in that wait for 3.3 s. Its wait was over when it woke, and
-it sent the question that ends servers on 24 ms later, with word of two ends still unread:
-
-    1682.689  i-1-1 ended under deadly-2
-    1682.786  d2 is frozen
-    1686.134  d2 sends deadly-2 to i-0-0
+A soak test (seed 1003) suspended a daemon for 3.3 s during that wait. When it resumed, the wait was over.
+It sent on a request that crashes servers 24 ms later, with the reports of two crashes still unread.
 """
 
 import pytest
@@ -16,7 +12,7 @@
 
 
 @pytest.mark.parametrize(("late", "waits"), [(0.0, 1), (3.0, 2)])
-def test_a_daemon_that_was_stopped_in_its_wait_for_word_hears_others_first(
+def test_a_daemon_suspended_while_it_waits_for_reports_reads_them_first(
     late: float, waits: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, slept = Clock(), []
--- a/tests/test_leaving_stages.py
+++ b/tests/test_leaving_stages.py
@@ -1,4 +1,4 @@
-"""Streams on stages that leave look again for a way round them, and not at every event."""
+"""Streams on leaving stages search for a detour repeatedly, but not at every event."""
 
 from typing import Any
 
@@ -8,16 +8,16 @@
 from tests.test_streams import Scene
 
 
-def leave_alone(scene: Scene) -> Any:
-    """Have a stage leave whose layers nobody else holds yet."""
-    scene.look()
+def leave_without_replacement(scene: Scene) -> Any:
+    """Let a stage leave whose layers no other server holds yet."""
+    scene.advance()
     leaving = scene.paired_stage()
     for server in scene.fleet.servers.values():
         if server not in scene.run.path.servers:
             server.excluded = "not loaded yet"
     scene.fleet.mark_leaving(leaving, "listed")
-    scene.look()
-    scene.look(LEAVE_SPREAD_SECONDS)
+    scene.advance()
+    scene.advance(LEAVE_SPREAD_SECONDS)
     return leaving
 
 
@@ -33,20 +33,20 @@
     return searched
 
 
-def test_a_stream_that_finds_no_way_round_looks_twice_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_without_a_detour_searches_twice_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    leave_alone(scene)
+    leave_without_replacement(scene)
     searched = count_searches(scene, monkeypatch)
     for _ in range(100):
-        scene.look(LEAVE_RETRY_SECONDS / 25)
+        scene.advance(LEAVE_RETRY_SECONDS / 25)
     assert 2 <= len(searched) <= 6
 
 
-def test_looks_end_when_the_stream_has_left_the_stage_otherwise(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_searches_end_when_the_stage_no_longer_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    leaving = leave_alone(scene)
+    leaving = leave_without_replacement(scene)
     searched = count_searches(scene, monkeypatch)
     leaving.leaving = False
     for _ in range(10):
-        scene.look(LEAVE_RETRY_SECONDS)
+        scene.advance(LEAVE_RETRY_SECONDS)
     assert searched == []
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -50,9 +50,9 @@
         for hall, layer in (("a", 20), ("b", 60))
         if s.facts.hall == hall and s.facts.first <= layer < s.facts.last
     )
-    assert site.choose(without=lost) is not None
+    assert site.choose(excluded=lost) is not None
     site.paths.without = frozenset({Mechanism.CROSSING})
-    assert site.choose(without=lost) is None
+    assert site.choose(excluded=lost) is None
 
 
 def test_without_comparison_the_own_hall_is_used_to_the_end() -> None:
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -1,7 +1,7 @@
-"""When a caller is told that a request was not run, it truly was not run.
+"""A request that the caller is told was not run has in fact not run.
 
-A table of faults against what the caller is told and what the server saw. The
-servers here are threads that break off at a set point of the exchange.
+A table of faults lists what the caller is told, and the test compares it with what the server saw. The
+servers are threads that break off at a set point of the exchange.
 """
 
 import socket
@@ -18,11 +18,11 @@
 BODY = {"level": 3}
 
 Behaviour = Callable[[socket.socket], bool]
-"""Plays the server on one connection; tells whether it took the request as run."""
+"""Serves one connection; returns whether the request counts as run."""
 
 
 class Fake:
-    """A server on a fixed address that behaves as it is told."""
+    """A server on a fixed address with a configurable behaviour."""
 
     def __init__(self) -> None:
         self.address = f"{HOST}:{free_port()}"
@@ -107,7 +107,7 @@
     (answer_well, 200, None),
     (answer_500, 500, None),
     (answer_302, 302, None),
-    # Whether the reset comes before the first byte is up to the kernel.
+    # The kernel decides whether the reset arrives before the first byte.
     (reset_at_once, 502, "not_run or unknown"),
     (reset_after_reading, 502, "unknown"),
     (close_after_reading, 502, "unknown"),
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("service", ["once", "often"])
 @pytest.mark.parametrize(("behaviour", "status", "outcome"), TABLE, ids=[r[0].__name__ for r in TABLE])
-def test_a_fault_of_a_server_is_told_as_it_is(small, fake, service, behaviour, status, outcome):
+def test_a_server_fault_is_reported_correctly(small, fake, service, behaviour, status, outcome):
     fake.behaviour, fake.runs = behaviour, 0
     key = f"{service}-{behaviour.__name__}"
     found, body = callers.call(
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize(
     ("name", "faults", "headers", "outcome"), ENGINE_TABLE, ids=[r[0] for r in ENGINE_TABLE]
 )
-def test_a_fault_of_an_engine_is_told_as_it_is(small, name, faults, headers, outcome):
+def test_an_engine_fault_is_reported_correctly(small, name, faults, headers, outcome):
     before = len(small.record("e1"))
     engine_faults(small, **faults)
     try:
@@ -187,7 +187,7 @@
 
 def test_a_short_deadline_of_one_caller_does_not_eject_a_server(small):
     address = small.processes["d1"].address
-    # An answer wipes out the failures that other cases of this table have caused.
+    # A good answer clears the failures that other cases of this table have caused.
     assert callers.complete(address, 1)[0] == 200
     engine_faults(small, token_delay=0.6)
     status, body = callers.complete(address, 1, Bayglade_Deadline="0.3")
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize(("name", "path", "key", "status"), REFUSALS, ids=[r[0] for r in REFUSALS])
-def test_a_refusal_is_not_run_and_may_be_sent_again(small, fake, name, path, key, status):
+def test_a_rejected_request_was_not_run_and_may_be_sent_again(small, fake, name, path, key, status):
     fake.behaviour, fake.runs = answer_well, 0
     address = small.processes["d1"].address
     for _ in range(2):
@@ -213,7 +213,7 @@
     assert fake.runs == 0
 
 
-def test_a_table_that_is_out_is_told_as_not_run(small, fake):
+def test_an_unavailable_table_is_reported_as_not_run(small, fake):
     fake.behaviour, fake.runs = answer_well, 0
     small.post(small.platform, "/standin/faults", {"out": True})
     address = small.processes["d1"].address
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Paths: each request gets one with room on every server, near before far."""
+"""Each request gets a path with room on every server; near servers are preferred."""
 
 from collections.abc import Sequence
 
@@ -35,7 +35,7 @@
 
 
 class Site:
-    """A fleet as it is laid out, and the paths of one daemon."""
+    """A fleet with servers, and the path selector of one daemon."""
 
     def __init__(self, hall: str, **halls: dict[str, int]) -> None:
         self.model = model_with_pipes()
@@ -44,8 +44,8 @@
         self.fleet.take([server.facts for server in held], [], outage=False)
         self.paths = PathSelector(self.fleet, HallName(hall))
 
-    def choose(self, demand: Demand = USUAL, without: frozenset[BackendId] = frozenset()) -> Path | None:
-        return self.paths.choose(SERVICE, self.model, demand, without)
+    def choose(self, demand: Demand = USUAL, excluded: frozenset[BackendId] = frozenset()) -> Path | None:
+        return self.paths.choose(SERVICE, self.model, demand, excluded)
 
     def serve(self, demand: Demand = USUAL) -> Path:
         path = self.choose(demand)
@@ -65,7 +65,7 @@
 
 def test_requests_spread_over_servers_that_hold_the_same_layers() -> None:
     site = Site("a", a={"big": 4, "middle": 9, "small": 14})
-    # More than the chain of the quickest servers has room for.
+    # More requests than the chain of the fastest servers has room for.
     for _ in range(80):
         site.serve()
     holders = [s for s in site.fleet.of(SERVICE) if s.facts.held]
@@ -101,7 +101,7 @@
     assert site.paths.seconds_until_covered(SERVICE, site.model) == 0.0
 
 
-def test_what_other_daemons_have_under_way_counts() -> None:
+def test_the_load_of_other_daemons_counts() -> None:
     site = Site("a")
     path = site.choose()
     assert path is not None
@@ -125,7 +125,7 @@
     assert other.servers[0].facts.id != head.id
 
 
-def test_a_path_of_the_own_hall_is_taken_while_it_has_room() -> None:
+def test_a_path_in_the_own_hall_is_used_while_it_has_room() -> None:
     site = Site("b")
     halls = [site.serve().hall for _ in range(30)]
     assert set(halls) == {"b"}
@@ -149,7 +149,7 @@
     assert searched == [{HallName("a")}]
 
 
-def test_stages_of_another_hall_step_in_where_no_hall_has_all_layers() -> None:
+def test_stages_of_another_hall_are_used_if_no_hall_has_all_layers() -> None:
     site = Site("a")
     whole = site.choose()
     assert whole is not None
@@ -169,14 +169,14 @@
         and s.facts.first < gone.facts.last
         and s.facts.last > gone.facts.first
     }
-    path = site.choose(without=frozenset(twins))
+    path = site.choose(excluded=frozenset(twins))
     assert path is not None
     assert tiles(path, site.model.layers)
     assert {s.facts.hall for s in path.servers} == {"a", "b"}
     assert not twins & {s.facts.id for s in path.servers}
 
 
-def test_a_slow_server_is_passed_round_where_another_way_is_much_quicker() -> None:
+def test_a_slow_server_is_bypassed_where_another_path_is_much_faster() -> None:
     site = Site("a")
     path = site.choose()
     assert path is not None
@@ -187,7 +187,7 @@
     assert slow not in other.servers
 
 
-def test_a_detour_keeps_the_first_stage_and_stays_in_the_hall_where_it_can() -> None:
+def test_a_detour_keeps_the_first_stage_and_stays_in_the_hall_if_possible() -> None:
     site = Site("a")
     path = site.choose()
     assert path is not None
@@ -214,7 +214,7 @@
     assert site.paths.detour(path, SERVICE, site.model, frozenset({path.servers[0].facts.id})) is None
 
 
-def test_a_busy_pipe_takes_no_more_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_busy_pipe_accepts_no_more_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     model = model_with_pipes()
     pipes = Pipes()
     one, other = HallName("a"), HallName("b")
@@ -230,7 +230,7 @@
     assert pipes.crossing_ms(one, HallName("c"), model, USUAL) < float("inf")
 
 
-def test_nothing_crosses_cheaply_where_no_pipe_is_known() -> None:
+def test_crossing_is_expensive_where_no_pipe_is_known() -> None:
     assert Pipes().crossing_ms(HallName("a"), HallName("b"), pipeline(), USUAL) == UNKNOWN_CROSSING_MS
 
 
@@ -262,7 +262,7 @@
         size = model.cache_size(server.facts.accelerator or "", server.facts.held)
         assert server.cached <= MAX_CACHE_USE * size
     if path is None and served:
-        # Some layer has no holder left with room for one more request on all its layers.
+        # Some layer has no holder left with room for one more request on all layers of the holder.
         assert any(
             all(
                 s.cached + demand.cached * s.facts.held
@@ -284,22 +284,22 @@
     return site
 
 
-def on_a_slow_way(site: Site, count: int) -> list[Path]:
-    """Have requests run on a way of many stages, while a quicker one with fewer is free again."""
+def on_a_slow_path(site: Site, count: int) -> list[Path]:
+    """Run requests on a path with many stages, while a faster one with fewer stages is free again."""
     quick = frozenset(s.facts.id for s in site.fleet.of(SERVICE) if s.facts.accelerator == "quick")
     paths = []
     for _ in range(count):
-        path = site.choose(without=quick)
+        path = site.choose(excluded=quick)
         assert path is not None
         site.paths.take(path, site.model)
         paths.append(path)
     return paths
 
 
-def test_requests_leave_a_lost_stage_by_reading_few_layers_anew() -> None:
-    # 39 streams of a hall lost one stage of 5 layers at once, and each read 48 layers anew.
+def test_requests_leave_a_lost_stage_with_few_layers_prefilled_again() -> None:
+    # 39 streams of a hall lost one stage of 5 layers at once, and each prefilled 48 layers again.
     site = three_speeds_site()
-    paths = on_a_slow_way(site, 40)
+    paths = on_a_slow_path(site, 40)
     lost = paths[0].servers[2]
     hit = [path for path in paths if lost in path.servers]
     assert len(hit) > 30
@@ -310,16 +310,16 @@
         assert sum(stage.last - stage.first for stage in kept) >= 0.8 * site.model.layers
 
 
-def test_one_request_leaves_a_lost_stage_for_a_quicker_way() -> None:
+def test_a_single_request_leaves_a_lost_stage_for_a_faster_path() -> None:
     site = three_speeds_site()
-    (path,) = on_a_slow_way(site, 1)
+    (path,) = on_a_slow_path(site, 1)
     moved = site.paths.detour(path, SERVICE, site.model, frozenset({path.servers[2].facts.id}))
     assert moved is not None
     assert moved.cost < path.cost
 
 
-def test_prompts_that_come_all_at_once_are_spread_over_first_stages() -> None:
-    # All daemons of a hall are back after a loss of power, and four callers of each with them.
+def test_prompts_that_arrive_all_at_once_are_spread_over_first_stages() -> None:
+    # All daemons of a hall recover from a power loss at once, and four callers of each send a prompt.
     site = three_speeds_site()
     site.paths.daemon_count = lambda: 20
     firsts = []
@@ -331,7 +331,7 @@
     assert set(firsts) != {"quick"}
 
 
-def test_one_prompt_that_is_read_keeps_the_next_from_nowhere() -> None:
+def test_a_single_prompt_being_read_does_not_divert_the_next() -> None:
     site = three_speeds_site()
     site.paths.daemon_count = lambda: 20
     first = site.serve().servers[0]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay's count of servers that one call went to."""
+"""The bound on the servers that one call may be sent to."""
 
 import pytest
 
@@ -62,7 +62,7 @@
     return listed, list(listed.servers.values())
 
 
-def test_a_server_out_of_reach_for_a_moment_counts_towards_the_bound(
+def test_a_server_unreachable_for_a_moment_counts_towards_the_bound(
     servers: tuple[Fleet, list[Server]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     at = 100.0
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("how", ["leaving", "gone"])
-def test_a_server_that_has_ended_does_not_count(servers: tuple[Fleet, list[Server]], how: str) -> None:
+def test_a_terminated_server_does_not_count(servers: tuple[Fleet, list[Server]], how: str) -> None:
     listed, (first, second, *_) = servers
     attempts = Attempts(a_call(max_attempts=2))
     attempts.note_sent(first)
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -1,4 +1,4 @@
-"""Rests and words of leaving: how long they hold, what ends them, and what goes by them."""
+"""Pauses and leaving notices of servers: how long they hold, what ends them, and what they affect."""
 
 import random
 from types import SimpleNamespace
@@ -31,7 +31,7 @@
 
 
 class Clock:
-    """The time that the modules under test go by."""
+    """The clock of the modules under test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.at = 100.0
@@ -51,7 +51,9 @@
 
 
 @pytest.mark.parametrize(("then", "ends"), [(1.0, REST), (10.0, 11.0)])
-def test_a_later_word_makes_a_rest_longer_and_never_shorter(clock: Clock, then: float, ends: float) -> None:
+def test_a_later_pause_extends_an_earlier_one_and_never_shortens_it(
+    clock: Clock, then: float, ends: float
+) -> None:
     fleet, server = listed()
     fleet.rest(server, REST)
     clock.at += 1.0
@@ -59,7 +61,7 @@
     assert server.rest_until == 100.0 + ends
 
 
-def test_a_server_at_rest_is_well(clock: Clock) -> None:
+def test_a_paused_server_is_healthy(clock: Clock) -> None:
     fleet, server = listed()
     changed = fleet.changed
     fleet.rest(server, REST)
@@ -75,7 +77,7 @@
     assert fleet.opens_in(server.facts.service) is None
 
 
-def test_servers_at_rest_do_not_keep_others_from_being_suspect(clock: Clock) -> None:
+def test_paused_servers_do_not_keep_others_from_being_suspect(clock: Clock) -> None:
     fleet = Fleet()
     fleet.take([facts_of(f"s{n}") for n in range(4)], [], outage=False)
     first, second, third, _ = fleet.servers.values()
@@ -86,7 +88,7 @@
 
 @pytest.mark.parametrize("outage", [False, True])
 @pytest.mark.parametrize("state", ["ready", "draining"])
-def test_what_a_server_said_outlasts_its_row(clock: Clock, outage: bool, state: str) -> None:
+def test_notices_of_a_server_outlast_its_row(clock: Clock, outage: bool, state: str) -> None:
     fleet, server = listed()
     fleet.rest(server, REST)
     fleet.said_leaving(server, "its answer")
@@ -100,19 +102,19 @@
     assert (again.leaving, again.rest_until) == (True, 100.0 + REST)
 
 
-def test_a_new_start_ends_what_a_server_said(clock: Clock) -> None:
+def test_a_restart_ends_the_notices_of_a_server(clock: Clock) -> None:
     fleet, server = listed()
     fleet.rest(server, 3600.0)
     fleet.said_leaving(server, "its answer")
     fleet.take([facts_of(born=BORN + 1)], [], outage=False)
     again = fleet.servers[ID]
     assert again.usable(clock.at)
-    # Word of the start before says nothing of this one.
+    # A notice of the earlier incarnation does not apply to this one.
     fleet.rest(server, REST)
     assert again.usable(clock.at)
 
 
-def test_words_that_are_kept_are_bounded(clock: Clock) -> None:
+def test_the_number_of_kept_notices_is_bounded(clock: Clock) -> None:
     fleet = Fleet()
     for number in range(MAX_TOMBSTONES + 10):
         backend = BackendId(f"s{number}")
@@ -123,7 +125,7 @@
 
 
 class Connections:
-    """Connections to servers, and what becomes known while one is opened."""
+    """Connections to servers, and a hook that runs while one is opened."""
 
     def __init__(self) -> None:
         self.on_open: Any = lambda: None
@@ -152,23 +154,23 @@
 
 @pytest.mark.parametrize("word", ["rest", "leaving"])
 @pytest.mark.parametrize("when", ["before", "while a connection is opened"])
-def test_nothing_is_sent_once_a_server_said_that_it_wants_nothing(
+def test_nothing_is_sent_after_a_server_announced_that_it_accepts_nothing(
     clock: Clock, monkeypatch: pytest.MonkeyPatch, word: str, when: str
 ) -> None:
     fleet, server = listed()
     context, connections = relaying(monkeypatch, fleet)
     call = a_call(2)
 
-    def say() -> None:
+    def announce() -> None:
         if word == "rest":
             fleet.rest(server, REST)
         else:
             fleet.said_leaving(server, "its answer")
 
     if when == "before":
-        say()
+        announce()
     else:
-        connections.on_open = say
+        connections.on_open = announce
     with pytest.raises(BackendUnwilling) as raised:
         send(context, call, server, None, None)
     assert connections.sent == []
@@ -178,7 +180,7 @@
     assert (attempts.send_count, attempts.unreachable_count, attempts.may_have_run) == (0, 0, False)
 
 
-def test_a_server_gets_requests_again_at_the_end_of_its_rest(
+def test_a_server_gets_requests_again_at_the_end_of_its_pause(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet, server = listed()
@@ -200,7 +202,7 @@
 
 
 @pytest.mark.parametrize("instance", [None, ID])
-def test_a_refusal_says_how_long_to_wait(clock: Clock, instance: str | None) -> None:
+def test_a_rejection_says_how_long_to_wait(clock: Clock, instance: str | None) -> None:
     fleet, server = listed()
     head = AnswerHead(request="q", authentic=False, not_run=True, instance_id=instance, rest_seconds=REST)
     with pytest.raises(BackendRefused) as raised:
@@ -209,7 +211,7 @@
     assert server.rest_until == 100.0 + REST
 
 
-def test_an_answer_of_another_server_says_nothing_of_this_one(clock: Clock) -> None:
+def test_an_answer_of_another_server_does_not_apply_to_this_one(clock: Clock) -> None:
     fleet, server = listed()
     head = AnswerHead(
         request="q", authentic=False, not_run=True, instance_id="other", leaving=True, rest_seconds=REST
@@ -219,7 +221,7 @@
     assert server.usable(clock.at)
 
 
-def test_any_whole_answer_may_say_that_the_server_leaves(clock: Clock) -> None:
+def test_any_complete_answer_may_announce_that_the_server_leaves(clock: Clock) -> None:
     fleet, server = listed()
     answered(AnswerHead(request="q", authentic=True, not_run=False, leaving=True), 200, fleet, server)
     assert server.leaving
@@ -227,7 +229,7 @@
         check_may_send(SimpleNamespace(check_authorization=lambda call: None), a_call(2), server)  # type: ignore[arg-type]
 
 
-def test_a_path_leaves_out_stages_at_rest_and_a_stream_stays_on_its_own(clock: Clock) -> None:
+def test_a_path_excludes_paused_stages_but_a_running_stream_stays_on_them(clock: Clock) -> None:
     site = Site("a", a={"big": 4, "middle": 9, "small": 14})
     path = site.serve()
     resting, dead = path.servers[1], path.servers[2]
@@ -238,24 +240,24 @@
     assert detour is not None
     assert resting in detour.servers
     assert dead not in detour.servers
-    # A stream that is not on it does not come there.
+    # A stream that is not on the paused stage is not moved to it.
     for other in chosen:
         moved = site.paths.detour(other, SERVICE, site.model, frozenset({other.servers[1].facts.id}))
         assert moved is None or resting not in moved.servers
 
 
-def test_when_rests_are_over_is_told_by_those_that_are_needed(clock: Clock) -> None:
+def test_the_end_of_pauses_depends_on_the_servers_that_are_needed(clock: Clock) -> None:
     site = Site("a", a={"big": 4, "middle": 9, "small": 14})
-    heads = [s for s in site.fleet.of(SERVICE) if s.facts.held and s.facts.first == 0]
-    assert len(heads) > 1
-    for number, head in enumerate(heads):
-        site.fleet.rest(head, REST + number)
+    first_stages = [s for s in site.fleet.of(SERVICE) if s.facts.held and s.facts.first == 0]
+    assert len(first_stages) > 1
+    for number, server in enumerate(first_stages):
+        site.fleet.rest(server, REST + number)
     assert site.choose() is None
     assert site.paths.seconds_until_covered(SERVICE, site.model) == REST
-    last = heads[-1].facts.id
+    last = first_stages[-1].facts.id
     assert (
         site.paths.seconds_until_covered(SERVICE, site.model, first_stages=frozenset({last}))
-        == REST + len(heads) - 1
+        == REST + len(first_stages) - 1
     )
     assert (
         site.paths.seconds_until_covered(
@@ -268,7 +270,7 @@
 
 
 def daemons(count: int) -> tuple[dict[MemberId, Spreading], list[tuple[MemberId, MemberId, Findings]]]:
-    """Make daemons that all tell each other, and the words that are on their way."""
+    """Create connected daemons, and the list of messages in transit between them."""
     names = [MemberId(f"d{number}") for number in range(count)]
     made: dict[MemberId, Spreading] = {}
     on_way: list[tuple[MemberId, MemberId, Findings]] = []
@@ -290,10 +292,10 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_word_of_a_leaving_server_reaches_all_and_dies_out(seed: int) -> None:
+def test_notice_of_a_leaving_server_reaches_all_daemons_and_then_stops(seed: int) -> None:
     rng = random.Random(seed)
     made, on_way = daemons(9)
-    # Several daemons have it from the server at the same time.
+    # Several daemons learn it from the server at the same time.
     for name in list(made)[:3]:
         spreading = made[name]
         spreading.fleet.said_leaving(spreading.fleet.servers[BackendId("s1")], "its answer")
@@ -303,11 +305,11 @@
         made[to].heard(sender, found)
         told += 1
     assert all(spreading.fleet.servers[BackendId("s1")].leaving for spreading in made.values())
-    # Each daemon tells all others once at most.
+    # Each daemon tells every other one at most once.
     assert told <= 9 * 8
 
 
-def test_word_of_another_start_is_not_taken() -> None:
+def test_a_notice_of_another_incarnation_is_ignored() -> None:
     made, on_way = daemons(2)
     one = made[MemberId("d0")]
     earlier = ServerKey(BackendId("s1"), Incarnation(-5))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Budgets for retries hold in every window, and are divided between daemons."""
+"""Retry budgets hold in every time window, and grow with the requests."""
 
 import pytest
 from hypothesis import given
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.at = 1000.0
@@ -36,7 +36,7 @@
         assert sum(1 for at in taken if start <= at < start + WINDOW) <= 8
 
 
-def test_requests_bring_retries_with_them() -> None:
+def test_requests_add_retries_to_the_budget() -> None:
     budget = RetryBudget(fraction=0.5, floor=1.0, window=WINDOW)
     assert [budget.acquire() for _ in range(2)] == [True, False]
     for _ in range(10):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes: they tile all layers, prefer near, quick and idle servers; health of servers."""
+"""Routes cover all layers and prefer near, fast and idle servers; failing servers are ejected."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 
 @given(RANGES, st.integers(0, 5))
-def test_a_route_tiles_all_layers_or_there_is_none(ranges, seed):
+def test_a_route_covers_all_layers_or_there_is_none(ranges, seed):
     states = [state(f"e{n}", first, last) for n, (first, last) in enumerate(ranges)]
     found = route(states, seed)
     assert (found is not None) == covers(states, LAYERS)
@@ -54,7 +54,7 @@
     assert route([busy, idle])[0].backend == "idle"
 
 
-def test_many_daemons_with_the_same_news_do_not_choose_the_same_server():
+def test_many_daemons_with_the_same_load_data_do_not_choose_the_same_server():
     states = [state(f"e{n:02}", 0, 12) for n in range(40)]
     chosen = {route(states, seed)[0].backend for seed in range(60)}
     assert len(chosen) > 20
@@ -103,7 +103,7 @@
     assert one.limit == pytest.approx(4 * backends_module.LIMIT_DECREASE)
 
 
-def test_what_was_learned_of_a_server_outlives_a_new_revision():
+def test_the_measured_speed_of_a_server_outlives_a_new_revision():
     held, tree = made(2)
     held.learn({BackendId("e0"): 12}, 0.5)
     learned = held.states[BackendId("e0")].seconds_per_layer
@@ -111,7 +111,7 @@
     assert held.states[BackendId("e0")].seconds_per_layer == learned
 
 
-def test_speeds_of_two_servers_are_told_apart():
+def test_speeds_of_two_servers_are_estimated_separately():
     held, _ = made(2)
     for _ in range(200):
         held.learn({BackendId("e0"): 6, BackendId("e1"): 6}, 6 * 0.004 + 6 * 0.001)
--- a/tests/test_staying_streams.py
+++ b/tests/test_staying_streams.py
@@ -1,4 +1,4 @@
-"""A begun stream stays on its first stage while nobody else holds the layers of a stage that has ended."""
+"""A begun stream stays on its first stage while no other server holds the layers of a terminated stage."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 from bayglade import runs
 from bayglade.exceptions import BackendError
 from bayglade.runs import DETOUR_RETRY_SECONDS, MIN_MOVE_INTERVAL
-from tests.test_streams import Scene, look_into
+from tests.test_streams import Scene, investigate
 
 
 @pytest.fixture
@@ -19,8 +19,8 @@
     return made
 
 
-def end(scene: Scene, stage: Any) -> None:
-    """Let a stage be known to have ended, and nobody else have its layers."""
+def terminate(scene: Scene, stage: Any) -> None:
+    """Let a stage be known as terminated, while no other server holds its layers."""
     assert scene.fleet.suspect(stage, "ended")
     stage.refused = True
     for other in others(scene):
@@ -36,56 +36,58 @@
         other.excluded = None
 
 
-def test_it_goes_on_once_others_hold_the_layers(scene: Scene) -> None:
-    end(scene, ended := scene.paired_stage())
-    look_into(scene)
+def test_it_continues_once_others_hold_the_layers(scene: Scene) -> None:
+    terminate(scene, terminated := scene.paired_stage())
+    investigate(scene)
     assert scene.rerouted == []
     load(scene)
     scene.at += DETOUR_RETRY_SECONDS
-    look_into(scene)
+    investigate(scene)
     assert len(scene.rerouted) == 1
-    assert ended not in scene.run.path.servers
+    assert terminated not in scene.run.path.servers
 
 
-def test_it_does_not_seek_others_all_the_time(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    end(scene, scene.paired_stage())
-    look_into(scene)
-    monkeypatch.setattr(scene.context.paths, "detour", lambda *_: pytest.fail("it looked again at once"))
+def test_it_does_not_search_for_a_detour_all_the_time(
+    scene: Scene, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    terminate(scene, scene.paired_stage())
+    investigate(scene)
+    monkeypatch.setattr(scene.context.paths, "detour", lambda *_: pytest.fail("searched again at once"))
     scene.at += DETOUR_RETRY_SECONDS / 2
     assert not scene.run.should_leave_dead_stage()
-    look_into(scene)
+    investigate(scene)
     scene.at += DETOUR_RETRY_SECONDS
     assert scene.run.should_leave_dead_stage()
 
 
-def test_it_ends_when_its_first_stage_has_ended_too(scene: Scene) -> None:
-    end(scene, scene.paired_stage())
-    end(scene, scene.run.path.servers[0])
+def test_it_fails_if_its_first_stage_has_terminated_too(scene: Scene) -> None:
+    terminate(scene, scene.paired_stage())
+    terminate(scene, scene.run.path.servers[0])
     with pytest.raises(BackendError):
-        look_into(scene)
+        investigate(scene)
 
 
-def test_it_ends_when_it_has_no_event_yet(scene: Scene) -> None:
+def test_it_fails_if_it_has_no_event_yet(scene: Scene) -> None:
     scene.run.begun = False
-    end(scene, scene.paired_stage())
+    terminate(scene, scene.paired_stage())
     with pytest.raises(BackendError):
-        look_into(scene)
+        investigate(scene)
 
 
-def test_it_ends_when_its_request_is_stopped(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    end(scene, scene.paired_stage())
-    look_into(scene)
+def test_it_fails_if_its_request_is_stopped(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+    terminate(scene, scene.paired_stage())
+    investigate(scene)
     monkeypatch.setattr(scene.context.quarantine, "holds", lambda call: True)
     scene.at += DETOUR_RETRY_SECONDS
     with pytest.raises(BackendError):
-        look_into(scene)
+        investigate(scene)
 
 
-def test_a_move_that_its_first_stage_refused_is_tried_again(scene: Scene) -> None:
-    end(scene, scene.paired_stage())
+def test_a_move_that_its_first_stage_rejected_is_retried(scene: Scene) -> None:
+    terminate(scene, scene.paired_stage())
     load(scene)
     scene.moved = False
-    look_into(scene)
+    investigate(scene)
     assert len(scene.rerouted) == 1
     scene.moved = True
     scene.at += max(MIN_MOVE_INTERVAL, DETOUR_RETRY_SECONDS)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: moved off stages that leave, spread over time, and only where that can be done."""
+"""Streams move off leaving, slow and dead stages, spread over time, and only where others have room."""
 
 import random
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 class Scene:
-    """A stream on a path, and a control that takes reroutes or refuses them."""
+    """A stream on a path, and a control that accepts or rejects reroutes."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, moved: bool = True) -> None:
         self.at = 100.0
@@ -64,7 +64,7 @@
         self.rerouted.append(arguments)
         return RerouteOutcome(self.moved)
 
-    def look(self, seconds: float = 0.0) -> None:
+    def advance(self, seconds: float = 0.0) -> None:
         self.at += seconds
         leave_departing_stages(self.context, self.call, self.model, self.run)
 
@@ -84,14 +84,14 @@
 
 def test_a_stream_is_moved_off_a_leaving_stage_within_the_spread(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    scene.look()
+    scene.advance()
     leaving = scene.paired_stage()
     scene.fleet.mark_leaving(leaving, "listed")
-    scene.look()
-    scene.look(LEAVE_SPREAD_SECONDS)
+    scene.advance()
+    scene.advance(LEAVE_SPREAD_SECONDS)
     assert len(scene.rerouted) == 1
     assert leaving not in scene.run.path.servers
-    scene.look(LEAVE_SPREAD_SECONDS)
+    scene.advance(LEAVE_SPREAD_SECONDS)
     assert len(scene.rerouted) == 1
 
 
@@ -99,9 +99,9 @@
     scene = Scene(monkeypatch, moved=False)
     before = scene.run.path
     scene.fleet.mark_leaving(scene.paired_stage(), "listed")
-    scene.look()
+    scene.advance()
     for _ in range(3):
-        scene.look(LEAVE_SPREAD_SECONDS)
+        scene.advance(LEAVE_SPREAD_SECONDS)
     assert len(scene.rerouted) == 1
     assert scene.run.path is before
 
@@ -109,17 +109,14 @@
 def test_a_stream_is_moved_once_others_hold_the_layers_of_a_leaving_stage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Stages of a release left one after the other, each the only one with its layers until others had
-    loaded them, two seconds later. The streams there sought another way once, found none, and stayed until
-    the stage ended; then all sought one at the same time, and some were cut though the release was planned:
-
-        26.228  server leaving  i-7ccb2fee22  listed
-        26.240  order given  i-410caf4511  41 to 47
-        30.195  attempt failed  no other stages for those of a dead one
-        31.607  request failed  cut true
+    """Each stage of a release left as the only one with its layers; others had loaded them 2 s later.
+
+    The streams on it searched for a detour once, found none, and stayed until the stage terminated 4 s
+    after its notice. Then all searched at the same moment, and some were cut although the release was
+    planned.
     """
     scene = Scene(monkeypatch)
-    scene.look()
+    scene.advance()
     leaving = scene.paired_stage()
     twins = [
         server
@@ -130,13 +127,13 @@
     for twin in twins:
         twin.excluded = "not loaded yet"
     scene.fleet.mark_leaving(leaving, "listed")
-    scene.look()
-    scene.look(LEAVE_SPREAD_SECONDS)
-    scene.look(LEAVE_SPREAD_SECONDS)
+    scene.advance()
+    scene.advance(LEAVE_SPREAD_SECONDS)
+    scene.advance(LEAVE_SPREAD_SECONDS)
     assert scene.rerouted == []
     for twin in twins:
         twin.excluded = None
-    scene.look(LEAVE_SPREAD_SECONDS)
+    scene.advance(LEAVE_SPREAD_SECONDS)
     assert len(scene.rerouted) == 1
     assert leaving not in scene.run.path.servers
 
@@ -144,13 +141,13 @@
 def test_a_leaving_first_stage_keeps_its_streams(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     scene.fleet.mark_leaving(scene.run.path.servers[0], "listed")
-    scene.look()
-    scene.look(LEAVE_SPREAD_SECONDS)
+    scene.advance()
+    scene.advance(LEAVE_SPREAD_SECONDS)
     assert scene.rerouted == []
 
 
 class Refused:
-    """A call whose sending was turned away by a stage of its path."""
+    """A call that a stage of its path rejected."""
 
     def __init__(self, scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
         self.scene = scene
@@ -165,7 +162,7 @@
         return _record_failure(self.scene.context, self.scene.call, self.scene.run, error)
 
 
-def test_a_stage_that_did_not_take_part_is_asked_whether_it_lives(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stage_that_did_not_take_part_is_probed(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     refused = Refused(scene, monkeypatch)
     behind = scene.run.path.servers[2]
@@ -173,14 +170,14 @@
     assert refused.examined == [[behind]]
 
 
-def test_a_first_stage_that_refuses_has_answered_and_is_not_asked(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_first_stage_that_rejects_a_call_is_not_probed(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     refused = Refused(scene, monkeypatch)
     refused.by(scene.run.path.servers[0])
     assert refused.examined == []
 
 
-def test_a_stage_that_turned_a_call_away_counts_as_full_for_a_moment(
+def test_a_stage_that_rejected_a_call_counts_as_full_for_a_moment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
@@ -198,7 +195,7 @@
     assert full in chosen().servers
 
 
-def test_a_stream_leaves_a_stage_that_turned_slow_and_gives_its_place_back(
+def test_a_stream_leaves_a_stage_that_became_slow_and_releases_its_place(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
@@ -212,7 +209,7 @@
     assert all(server.cached == 0 and server.in_flight == 0 for server in scene.fleet.of(SERVICE))
 
 
-def test_a_stream_stays_on_a_stage_that_was_slow_when_it_came(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_stays_on_a_stage_that_was_slow_from_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     scene.fleet.pace(scene.paired_stage(), 12.0)
     scene.run = Run(scene.run.path, Attempts(scene.call))
@@ -221,16 +218,16 @@
 
 
 @pytest.mark.parametrize(
-    ("begun", "once", "leaves"), [(False, False, True), (True, False, False), (False, True, False)]
+    ("begun", "at_most_once", "leaves"), [(False, False, True), (True, False, False), (False, True, False)]
 )
-def test_a_request_leaves_a_first_stage_that_turned_slow_only_before_its_first_event(
-    begun: bool, once: bool, leaves: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_request_leaves_a_first_stage_that_became_slow_only_before_its_first_event(
+    begun: bool, at_most_once: bool, leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     scene = Scene(monkeypatch)
     # Another hall can begin the answer.
     held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
     scene.fleet.take([server.facts for server in held], [], outage=False)
-    scene.call.at_most_once = once
+    scene.call.at_most_once = at_most_once
     scene.run.begun = begun
     scene.fleet.pace(scene.run.path.servers[0], 12.0)
     if leaves:
@@ -240,7 +237,7 @@
         runs.leave_slow_stages(scene.context, scene.call, scene.model, scene.run)
 
 
-def dead_head(scene: Scene, begun: bool = True) -> None:
+def silence_first_stage(scene: Scene, begun: bool = True) -> None:
     """Let the first stage of the stream be found silent."""
     held = placed(servers(b={"big": 3, "middle": 3, "small": 5}), scene.model)
     scene.fleet.take([server.facts for server in held], [], outage=False)
@@ -251,40 +248,40 @@
     head.suspect_since = scene.at
 
 
-def look_into(scene: Scene) -> None:
+def investigate(scene: Scene) -> None:
     runs.investigate_stall(scene.context, scene.call, scene.model, scene.run, 0.1)
 
 
-def test_a_stream_whose_first_stage_is_silent_goes_on_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_whose_first_stage_is_silent_continues_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    dead_head(scene)
+    silence_first_stage(scene)
     with pytest.raises(BackendError):
-        look_into(scene)
+        investigate(scene)
 
 
-def test_a_stream_that_cannot_be_sent_again_is_not_ended_for_a_moment_of_silence(
+def test_a_stream_that_cannot_be_resent_survives_a_moment_of_silence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
-    dead_head(scene)
+    silence_first_stage(scene)
     scene.budget.floor = scene.budget.fraction = 0.0
-    look_into(scene)
+    investigate(scene)
     scene.at += SURE_SECONDS
     with pytest.raises(BackendError):
-        look_into(scene)
+        investigate(scene)
 
 
-def test_a_stream_with_no_room_elsewhere_is_not_ended_for_a_moment_of_silence(
+def test_a_stream_with_no_room_elsewhere_survives_a_moment_of_silence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
-    dead_head(scene)
+    silence_first_stage(scene)
     for server in scene.fleet.of(SERVICE):
         server.cached += 1e9
-    look_into(scene)
+    investigate(scene)
 
 
-def test_a_stream_that_no_other_stage_can_take_is_not_ended_for_a_moment_of_silence(
+def test_a_stream_that_no_other_stage_can_take_survives_a_moment_of_silence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch, moved=False)
@@ -293,54 +290,54 @@
     silent = scene.paired_stage()
     assert scene.fleet.suspect(silent, "silent")
     silent.suspect_since = scene.at
-    look_into(scene)
+    investigate(scene)
     assert len(scene.rerouted) == 1
     scene.at += SURE_SECONDS
     with pytest.raises(BackendError):
-        look_into(scene)
+        investigate(scene)
 
 
-def test_a_stream_that_stands_still_looks_for_dead_stages_before_its_patience_ends(
+def test_a_stalled_stream_checks_for_dead_stages_before_its_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
     scene.call.deadline = scene.at + 10.0
-    patience = 3 * STALL_POLL_SECONDS
+    timeout = 3 * STALL_POLL_SECONDS
     since = scene.at
-    glances = []
-    while not streams._stalled(scene.call, since, patience):
-        scene.at = streams._next_poll_at(scene.call, since, patience)
-        glances.append(scene.at - since)
-    assert glances == pytest.approx([STALL_POLL_SECONDS, 2 * STALL_POLL_SECONDS, patience])
+    polls = []
+    while not streams._stalled(scene.call, since, timeout):
+        scene.at = streams._next_poll_at(scene.call, since, timeout)
+        polls.append(scene.at - since)
+    assert polls == pytest.approx([STALL_POLL_SECONDS, 2 * STALL_POLL_SECONDS, timeout])
     assert not scene.run.should_leave_dead_stage()
     scene.run.path.servers[-1].suspect = True
     assert scene.run.should_leave_dead_stage()
-    # One that was moved just now is left alone for a moment.
+    # A stream that was just moved is not moved again for a moment.
     scene.run.next_move_at = scene.at + 0.1
     assert not scene.run.should_leave_dead_stage()
 
 
-def test_a_first_stage_whose_connection_broke_is_asked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_first_stage_whose_connection_broke_is_probed_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    asked: list[Any] = []
-    scene.context.diagnosis = SimpleNamespace(examine_anew=asked.append)
+    probed: list[Any] = []
+    scene.context.diagnosis = SimpleNamespace(examine_anew=probed.append)
     monkeypatch.setattr(streams.eventlet, "spawn_n", lambda act, servers: act(servers))
     error = BackendError("the connection broke", step="receive", peer="s")
     _record_failure(scene.context, scene.call, scene.run, error)
-    assert asked == [[scene.run.path.servers[0]]]
+    assert probed == [[scene.run.path.servers[0]]]
 
 
-def test_a_stream_whose_stages_turn_out_to_have_ended_is_given_up_soon(
+def test_a_stream_whose_stages_are_found_terminated_is_given_up_soon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
     scene.run.path.release()
-    looks = 0
+    checks = 0
 
     def ended(context: Any, call: Any, stages: Any) -> frozenset[Any]:
-        nonlocal looks
-        looks += 1
-        assert looks < 50
+        nonlocal checks
+        checks += 1
+        assert checks < 50
         return frozenset({stages[-1].facts.id})
 
     monkeypatch.setattr(streams, "ended_stages", ended)
@@ -353,18 +350,18 @@
     )
     with pytest.raises((NoRoute, Overloaded)):
         streams.relay_stream(scene.context, scene.call, scene.model, SimpleNamespace(sent=False))  # type: ignore[arg-type]
-    assert looks <= MAX_UNREACHABLE + 1
+    assert checks <= MAX_UNREACHABLE + 1
     assert all(server.in_flight == 0 and server.cached == 0 for server in scene.fleet.of(SERVICE))
 
 
-def test_a_stage_that_ends_while_a_stream_is_moved_to_it_ends_under_that_stream(
+def test_a_stage_that_crashes_while_a_stream_is_moved_to_it_crashes_under_that_stream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
     moved_at = scene.at
 
     def reroute(*_: Any) -> RerouteOutcome:
-        # Some of such requests end a server within 35 ms; the answer to the order may take longer.
+        # Some requests crash a server within 35 ms, and the answer to the order may take longer.
         scene.at += 0.3
         return RerouteOutcome(True)
 
--- a/tests/test_taken_keys.py
+++ b/tests/test_taken_keys.py
@@ -1,4 +1,4 @@
-"""Keys that are taken away while a request waits: it is not sent once they are known to be gone."""
+"""A waiting request is not sent any more once its key is known to be revoked."""
 
 import random
 from types import SimpleNamespace
@@ -31,7 +31,7 @@
     made.take(*decode_document(document), bytes(document))
 
 
-def test_a_key_that_was_taken_away_meanwhile_is_refused_before_the_sending() -> None:
+def test_a_key_that_was_revoked_meanwhile_is_rejected_before_the_request_is_sent() -> None:
     made = intake()
     configure(made, 1, KEY)
     made.check(keyed(KEY))
@@ -41,23 +41,23 @@
         made.check(keyed(KEY))
 
 
-def test_a_key_that_went_to_another_account_is_refused() -> None:
+def test_a_key_that_went_to_another_account_is_rejected() -> None:
     made = intake()
     configure(made, 1, KEY)
     with pytest.raises(Unauthenticated):
         made.check(keyed(KEY, "another-clinic"))
 
 
-def test_who_needs_no_key_is_not_asked_for_one() -> None:
+def test_a_call_that_needs_no_key_is_not_asked_for_one() -> None:
     made = intake()
     configure(made, 1, KEY)
     made.check(keyed("", None))
 
 
-def whole(
+def buffered(
     monkeypatch: pytest.MonkeyPatch, first: Any, second: BaygladeError
 ) -> tuple[list[int], BaygladeError | None]:
-    """Serve a call for a whole answer; return the statuses that its caller got, or what it was told."""
+    """Serve a call to a plain service; return the statuses that its caller got, and the error if any."""
     scene = StreamScene(monkeypatch)
     outcomes, told = [first, second], []
 
@@ -83,18 +83,18 @@
 
 
 @pytest.mark.parametrize("second", [CutOff("old", step="intake"), Unauthenticated("gone", step="intake")])
-def test_a_call_that_may_have_run_is_not_told_that_it_has_not(
+def test_a_call_that_may_have_run_is_not_reported_as_not_run(
     monkeypatch: pytest.MonkeyPatch, second: BaygladeError
 ) -> None:
     broke = BackendError("the connection broke", step="receive", peer="s")
-    told, error = whole(monkeypatch, broke, second)
+    told, error = buffered(monkeypatch, broke, second)
     assert told == []
     assert isinstance(error, BackendError)
 
 
-def test_a_failure_that_a_server_vouches_for_is_passed_on_when_keys_are_not_trusted_then(
+def test_an_authentic_failure_is_forwarded_if_keys_are_no_longer_trusted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     failed = SimpleNamespace(status=500, headers=[], content=b"broken")
-    told, error = whole(monkeypatch, failed, CutOff("old", step="intake"))
+    told, error = buffered(monkeypatch, failed, CutOff("old", step="intake"))
     assert (told, error) == ([500], None)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,13 +1,8 @@
-"""Connections that rest to servers, when one of them was found silent.
+"""Idle connections are not reused after another connection fell silent.
 
-Open connections of several servers fell silent for good while streams ran on them. Each stream was
-sent anew after 1.2 s, onto a connection that had rested to another server and was silent too, and
-after 1.2 s more there was no time left:
-
-    attempt failed  peer i-0-0  "the connection is silent"
-    sent            peer i-0-1  after 1
-    attempt failed  peer i-0-1  "the connection is silent"
-    request failed  "no whole answer: the connection is silent"  cut true
+Open connections to several servers fell silent for good while streams ran on them. Each stream was resent
+after 1.2 s on an idle connection to another server, which was silent too. After another 1.2 s no time was
+left, and the stream was cut.
 """
 
 import socket
@@ -26,7 +21,7 @@
 
 @pytest.fixture
 def address(monkeypatch: pytest.MonkeyPatch) -> Iterator[str]:
-    # The program's own sockets are all green.
+    # The program uses green sockets only.
     monkeypatch.setattr(upstream, "socket", green_socket)
     listening = socket.create_server(("127.0.0.1", 0))
     taken: list[socket.socket] = []
@@ -45,32 +40,32 @@
         sock.close()
 
 
-def test_connections_not_heard_since_one_fell_silent_are_not_used(
+def test_connections_idle_since_before_one_fell_silent_are_not_reused(
     address: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     at = 100.0
     monkeypatch.setattr(upstream, "now", lambda: at)
-    links = ConnectionPool()
-    old, late = links.acquire(SERVER, address), links.acquire(OTHER, address)
-    links.release(SERVER, old, None)
+    pool = ConnectionPool()
+    old, late = pool.acquire(SERVER, address), pool.acquire(OTHER, address)
+    pool.release(SERVER, old, None)
     at = 102.0
-    links.release(OTHER, late, None)
-    # A third one was heard last at 101 s and is found silent only now.
+    pool.release(OTHER, late, None)
+    # A third connection last received data at 101 s, and is found silent only now.
     at = 103.0
-    links.distrust_before(101.0)
-    assert not links.has_idle(SERVER)
-    assert links.has_idle(OTHER)
-    assert links.acquire(OTHER, address) is late
-    fresh = links.acquire(SERVER, address)
+    pool.distrust_before(101.0)
+    assert not pool.has_idle(SERVER)
+    assert pool.has_idle(OTHER)
+    assert pool.acquire(OTHER, address) is late
+    fresh = pool.acquire(SERVER, address)
     assert fresh is not old
-    assert links.opened == 3
+    assert pool.opened == 3
 
 
-def test_what_was_once_distrusted_stays_so(address: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_earlier_time_does_not_restore_trust(address: str, monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(upstream, "now", lambda: at)
-    links = ConnectionPool()
-    links.release(SERVER, links.acquire(SERVER, address), None)
-    links.distrust_before(101.0)
-    links.distrust_before(99.0)
-    assert not links.has_idle(SERVER)
+    pool = ConnectionPool()
+    pool.release(SERVER, pool.acquire(SERVER, address), None)
+    pool.distrust_before(101.0)
+    pool.distrust_before(99.0)
+    assert not pool.has_idle(SERVER)
--- a/tests/test_wait_queues.py
+++ b/tests/test_wait_queues.py
@@ -1,4 +1,4 @@
-"""Who waits is given a place in the order of shares, and gives it back when its caller leaves."""
+"""Waiting requests get places in order of their shares, and release them if their caller disconnects."""
 
 import random
 from types import SimpleNamespace
@@ -20,7 +20,7 @@
 
 
 class Place:
-    """A path as far as a line knows it."""
+    """A path, reduced to what the wait queues use."""
 
     def __init__(self) -> None:
         self.released = 0
@@ -30,16 +30,16 @@
 
 
 class Scene:
-    """A line, and places that become free as told."""
+    """Wait queues, and places that become free as the test specifies."""
 
     def __init__(self) -> None:
         self.wait_queues = WaitQueues(Usage(), lambda group: (0, 1.0))
         self.free: list[Any] = []
         self.served: list[str] = []
-        self.sought = 0
-        """Looks for a place for requests that there is none for."""
+        self.failed_attempts = 0
+        """Attempts to reserve a place for restricted requests; none succeeds."""
 
-    def enter(self, name: str, seconds: float = LONG, priority: int = 0, choosy: bool = False) -> Any:
+    def enter(self, name: str, seconds: float = LONG, priority: int = 0, restricted: bool = False) -> Any:
         call: Any = SimpleNamespace(
             service=SERVICE,
             group=None,
@@ -48,8 +48,8 @@
         )
 
         def wait() -> Any:
-            seek = self.seek_in_vain if choosy else self.seek
-            path = self.wait_queues.wait(call, seek, now() + seconds, choosy)
+            try_reserve = self.try_reserve_in_vain if restricted else self.try_reserve
+            path = self.wait_queues.wait(call, try_reserve, now() + seconds, restricted)
             if path is not None:
                 self.served.append(name)
             return path
@@ -58,11 +58,11 @@
         eventlet.sleep(0)
         return task
 
-    def seek(self) -> Any:
+    def try_reserve(self) -> Any:
         return self.free.pop(0) if self.free else None
 
-    def seek_in_vain(self) -> Any:
-        self.sought += 1
+    def try_reserve_in_vain(self) -> Any:
+        self.failed_attempts += 1
         return None
 
     def end(self, places: int = 1) -> None:
@@ -71,7 +71,7 @@
         eventlet.sleep(0)
 
 
-def test_places_are_given_in_order_and_nobody_loses_its_place_by_a_look_in_vain() -> None:
+def test_places_are_granted_in_order_and_a_failed_attempt_loses_no_turn() -> None:
     scene = Scene()
     tasks = [scene.enter(name) for name in "abc"]
     for _ in range(3):
@@ -94,9 +94,9 @@
     assert scene.served == ["urgent"]
 
 
-def test_one_that_may_go_to_some_servers_only_holds_nobody_back() -> None:
+def test_a_request_restricted_to_some_servers_does_not_block_others() -> None:
     scene = Scene()
-    scene.enter("a", choosy=True)
+    scene.enter("a", restricted=True)
     assert not scene.wait_queues.has_waiters(SERVICE)
     scene.enter("b")
     assert scene.wait_queues.has_waiters(SERVICE)
@@ -107,12 +107,12 @@
     assert scene.served == ["b", "c"]
 
 
-def test_few_that_may_go_to_some_servers_only_are_looked_at_each_time() -> None:
+def test_the_restricted_requests_that_one_pass_tries_are_bounded() -> None:
     scene = Scene()
     for number in range(100):
-        scene.enter(f"c{number}", choosy=True)
+        scene.enter(f"c{number}", restricted=True)
     scene.wait_queues.grant_places(SERVICE)
-    assert scene.sought == MAX_SKIPPED + 1
+    assert scene.failed_attempts == MAX_SKIPPED + 1
     assert scene.wait_queues.waiting() == 100
 
 
@@ -133,12 +133,12 @@
     assert scene.served == ["b"]
 
 
-def test_a_place_that_came_as_the_caller_left_goes_to_the_next() -> None:
+def test_a_place_granted_just_as_the_caller_leaves_goes_to_the_next() -> None:
     scene = Scene()
     first, _ = scene.enter("a"), scene.enter("b")
     place = Place()
     scene.free.append(place)
-    # Granted, but its task has not run yet when the caller leaves.
+    # The place is granted, but the task of the first request has not run yet when its caller leaves.
     scene.wait_queues.grant_places(SERVICE)
     scene.free.append(Place())
     eventlet.kill(first, CallerDisconnected())
@@ -147,7 +147,7 @@
     assert scene.served == ["b"]
 
 
-def test_the_expected_wait_follows_the_rate_at_which_requests_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_expected_wait_follows_the_completion_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene()
     at = now()
     monkeypatch.setattr(queues_module, "now", lambda: at)
--- a/tests/test_wholes.py
+++ b/tests/test_wholes.py
@@ -1,4 +1,4 @@
-"""Which plain server a call goes to first: calls that may go to one server only have no second choice."""
+"""Choice of the server for calls to plain services, some of which allow only one attempt."""
 
 import random
 from types import SimpleNamespace
@@ -23,7 +23,7 @@
 
 
 class Load:
-    """Calls that come one by one to a daemon, each of which may go to one server only."""
+    """Single calls that arrive at a daemon one by one; each may be sent to one server only."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, halls: list[str], seed: int) -> None:
         self.at = 100.0
@@ -47,7 +47,7 @@
         self.call: Any = SimpleNamespace(service=SERVICE, head=SimpleNamespace(id="r"))
 
     def play(self, seconds: float, sheds: Server | None = None) -> tuple[int, int, int]:
-        """Return how many calls came, how many were lost and how many that server got."""
+        """Return how many calls came, how many were lost, and how many the first server got."""
         came = lost = got = 0
         until = self.at + seconds
         while self.at < until:
@@ -74,18 +74,20 @@
 
 @pytest.mark.parametrize("halls", [["hall", "hall", "hall"], ["hall", "away", "away"]])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_server_that_turns_most_calls_away_gets_few(
+def test_a_server_that_rejects_most_calls_gets_few(
     monkeypatch: pytest.MonkeyPatch, halls: list[str], seed: int
 ) -> None:
     load = Load(monkeypatch, halls, seed)
     came, lost, _ = load.play(SHED_SECONDS, load.servers[0])
     assert came > 80
-    # Chosen as if nothing had been, it loses a fifth of the calls, and more than half of its own hall's.
+    # If rejections were ignored, it would lose a fifth of all calls, or over half if alone in its hall.
     assert lost <= 0.08 * came
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_server_that_takes_calls_again_gets_its_part(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
+def test_a_server_that_accepts_calls_again_gets_its_share(
+    monkeypatch: pytest.MonkeyPatch, seed: int
+) -> None:
     load = Load(monkeypatch, ["hall", "away", "away"], seed)
     load.play(SHED_SECONDS, load.servers[0])
     load.play(10.0)
