--- a/bayglade/admission.py
+++ b/bayglade/admission.py
@@ -21,11 +21,17 @@
 from bayglade.usage import Usage
 
 RATE_TIME_CONSTANT = 5.0
+"""Time constant of the measured rate of served tokens, in seconds."""
 NO_ROUTE_RETRY_AFTER = 2.0
+"""Retry-After in seconds, before jitter, if the live servers do not cover a model."""
 UPPER_BOUND_DEVIATIONS = 3.0
+"""Number of mean deviations between the mean time per token and its upper bound."""
 WAIT_SAFETY_FACTOR = 1.25
+"""Factor on the estimated wait when a new request is checked against its deadline."""
 INITIAL_SECONDS_PER_TOKEN = 0.02
+"""Estimate before any answer was measured."""
 SPEED_SMOOTHING = 0.1
+"""Weight of the latest answer in the moving averages."""
 
 Queue = ShareQueue[Event]
 """The waiting requests for one version of one model."""
--- a/bayglade/completions.py
+++ b/bayglade/completions.py
@@ -32,12 +32,15 @@
 from bayglade.retries import RetryBudget, jittered_retry_after, retry_delay
 from bayglade.trust import Trust
 
-FIRST_GAP_TIMEOUT = 4.0
+MAX_GAP_TIMEOUT = 4.0
 MIN_GAP_TIMEOUT = 0.5
+"""Bounds on the timeout for the next frame, in seconds."""
 GAP_FACTOR = 40.0
+"""Timeout for the next frame as a multiple of the mean time per token."""
 MAX_ATTEMPTS = 6
 ROUTE_POLL_SECONDS = 0.02
 ROUTE_WAIT_SECONDS = 2.0
+"""How often, and for how long, a failed attempt looks for another route."""
 
 
 class Answer:
@@ -203,7 +206,7 @@
     def _gap_timeout(self, request: Completion) -> float:
         speed = self.admission.speed((request.model, request.version))
         gap = max(MIN_GAP_TIMEOUT, GAP_FACTOR * speed.seconds_per_token)
-        return min(FIRST_GAP_TIMEOUT, gap, max(0.01, request.seconds_left()))
+        return min(MAX_GAP_TIMEOUT, gap, max(0.01, request.seconds_left()))
 
     def _handle_failure(
         self,
--- a/bayglade/pathfinding.py
+++ b/bayglade/pathfinding.py
@@ -26,10 +26,12 @@
 CacheLoadOf = Callable[[Server], float]
 """Returns the KV cache of a server that all daemons together have in use, in tokens times layers."""
 CostOf = Callable[[Server], float]
+"""Returns a cost of a server in milliseconds per token, or a factor on it."""
 PrefillCost = Callable[[Server, int, int], float]
 """Returns the extra cost per token if a server first has to prefill (read the prompt) through the layers
 from the first to the second number."""
 StageCosts = Callable[[int], tuple[float, float]]
+"""Returns the cost and the cache use of a stage that runs a number of layers."""
 CrossingMs = Callable[[HallName, HallName], float]
 """Returns the milliseconds that a hop between two data halls adds to each token."""
 
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -37,6 +37,7 @@
 """Tokens over which a one-time wait is spread when it is compared with a cost per token. Fewer than most
 answers have, because a wait can make an answer late and a somewhat slower token does not."""
 NO_LOAD = ServerLoad(BackendId(""), 0, 0)
+"""Stands for a server on which other daemons have put no load."""
 
 
 class PathSelector:
@@ -64,7 +65,7 @@
         """Returns the number of daemons in this hall; they are assumed to receive similar traffic."""
 
     def __repr__(self) -> str:
-        return f"<Paths in {self.hall}>"
+        return f"<PathSelector in {self.hall}>"
 
     def choose(
         self,
@@ -117,8 +118,8 @@
             return False
         return own.cache_use > SPILL_CACHE_USE or any(s.pace > SLOW_PACE for s in own.servers)
 
-    def take(self, path: Path, pipeline: Pipeline, previous: Path | None = None) -> None:
-        """Count a request on the servers of its path and on the inter-hall pipes that it crosses.
+    def reserve(self, path: Path, pipeline: Pipeline, previous: Path | None = None) -> None:
+        """Reserve a path: count a request on its servers, and on the inter-hall pipes that it crosses.
 
         :param path: a path that was just found; the request releases it when it ends or moves.
         :param pipeline: facts of the model.
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -41,12 +41,14 @@
 MAX_UNREACHABLE = 4
 """Unreachable servers after which a call is given up; nothing was sent to any of them."""
 NO_ROUTE_RETRY_AFTER = 0.5
+"""Retry-After in seconds, before jitter, if no server can run a request."""
 MAX_SENDS = 8
 """Bound on how often one call is sent, including sends that a full server rejected."""
 SUSPENSION_SECONDS = 0.1
 """A sleep that overruns by this much shows that the daemon was suspended or is badly overloaded."""
 FULL_RETRY_AFTER = 0.3
-"""Retry-After if all servers are full: about the time in which a place becomes free."""
+"""Least Retry-After in seconds, before jitter, if all servers are full: about the time until a place is
+free."""
 
 
 class RelayContext:
--- a/bayglade/retries.py
+++ b/bayglade/retries.py
@@ -8,10 +8,14 @@
 BUDGET_WINDOW = 10.0
 BUDGET_FRACTION = 0.1
 BUDGET_FLOOR = 10.0
+"""Defaults of :class:`RetryBudget`."""
 JITTER = 0.5
+"""Random part of delays and of Retry-After times."""
 BASE_DELAY = 0.1
+"""Delay before the first retry, in seconds and before jitter."""
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 60.0
+"""Bounds on Retry-After times in seconds, before jitter."""
 
 
 class RetryBudget:
--- a/bayglade/routing.py
+++ b/bayglade/routing.py
@@ -13,7 +13,9 @@
 from bayglade.ids import HallName
 
 MAX_CANDIDATES = 8
+"""Bound on the servers compared at one position; a random sample is taken if there are more."""
 COST_JITTER = 0.05
+"""Random part of the cost of a stage."""
 
 LinkSeconds = Callable[[HallName, HallName], float]
 """Returns the one-way delay between two data halls, in seconds."""
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -225,7 +225,7 @@
         route=path.describe(),
     )
     if outcome.moved:
-        context.paths.take(path, pipeline, run.path)
+        context.paths.reserve(path, pipeline, run.path)
         path.sent()
         run.move(path, since)
     return outcome.moved
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -221,7 +221,7 @@
     def reserve_without(servers: frozenset[BackendId]) -> Path | None:
         path = context.paths.choose(call.service, pipeline, demand, servers, attempts.allowed_servers())
         if path is not None:
-            context.paths.take(path, pipeline)
+            context.paths.reserve(path, pipeline)
         return path
 
     def try_reserve() -> Path | None:
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -50,7 +50,7 @@
     def serve(self, demand: Demand = USUAL) -> Path:
         path = self.choose(demand)
         assert path is not None
-        self.paths.take(path, self.model)
+        self.paths.reserve(path, self.model)
         return path
 
     def use(self, server: Server) -> float:
@@ -93,7 +93,7 @@
     site = Site("a")
     served = 0
     while (path := site.choose()) is not None:
-        site.paths.take(path, site.model)
+        site.paths.reserve(path, site.model)
         served += 1
         assert served < 1000
     assert served > 100
@@ -291,7 +291,7 @@
     for _ in range(count):
         path = site.choose(excluded=quick)
         assert path is not None
-        site.paths.take(path, site.model)
+        site.paths.reserve(path, site.model)
         paths.append(path)
     return paths
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -55,7 +55,7 @@
         self.moved = moved
         path = paths.choose(SERVICE, self.model, self.model.usual())
         assert path is not None
-        paths.take(path, self.model)
+        paths.reserve(path, self.model)
         self.call.at_most_once = False
         self.call.head = CallHead(id=RequestId("r"), host="h", prompt_tokens=700, max_answer_tokens=100)
         self.run = Run(path, Attempts(self.call))
