--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -197,8 +197,8 @@
     def allowed_servers(self) -> frozenset[BackendId] | None:
         """Return the servers to which the call may still be sent, or None if any server is allowed.
 
-        The number of servers that one call may be sent to is bounded. Servers that have
-        terminated since do not count; one that is only unreachable at the moment does.
+        The number of servers that one call may be sent to is bounded. Servers that have terminated
+        or started to leave since do not count; one that is only unreachable at the moment does.
         """
         at = now()
         alive = frozenset(server.facts.id for server in self.used_servers if not server.ended(at))
