--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -179,7 +179,7 @@
     return scene.error is None
 
 
-def test_a_begun_stream_goes_on_when_room_comes_later_than_new_calls_wait(scene: Scene) -> None:
+def test_a_begun_stream_is_resumed_when_room_comes_later_than_new_calls_wait(scene: Scene) -> None:
     task = scene.start(scene.break_off_full)
     eventlet.sleep(LATER)
     assert scene.wait_queues.waiting() == 1
@@ -189,7 +189,7 @@
     assert scene.at_rest()
 
 
-def test_a_begun_stream_goes_on_when_layers_are_loaded_again(scene: Scene) -> None:
+def test_a_begun_stream_is_resumed_when_layers_are_loaded_again(scene: Scene) -> None:
     def broken_and_empty() -> None:
         scene.unload()
         scene.break_off()
@@ -252,16 +252,16 @@
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(streams, "RETRY_INTERVAL_SECONDS", 0.02, raising=False)
-    looks = 0
+    checks = 0
 
     def ended(context: Any, call: Any, stages: Any) -> frozenset[Any]:
-        nonlocal looks
-        looks += scene.attempts
-        return frozenset({stages[-1].facts.id}) if 0 < looks <= MAX_UNREACHABLE + 3 else frozenset()
+        nonlocal checks
+        checks += scene.attempts
+        return frozenset({stages[-1].facts.id}) if 0 < checks <= MAX_UNREACHABLE + 3 else frozenset()
 
     monkeypatch.setattr(streams, "ended_stages", ended)
     assert served(scene, scene.start(scene.break_off))
-    assert looks > MAX_UNREACHABLE + 1
+    assert checks > MAX_UNREACHABLE + 1
     assert scene.at_rest()
 
 
