--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -13,6 +13,7 @@
 from bayglade.clock import now, use_boottime_timers
 from bayglade.config import Config, parse_address
 from bayglade.directory import Directory
+from bayglade.disconnects import DisconnectWatcher
 from bayglade.engines import create_engines
 from bayglade.entries import Membership
 from bayglade.entries.membership import LOST_AFTER
@@ -24,14 +25,13 @@
 from bayglade.metrics import create_metrics
 from bayglade.operators.api import Operators
 from bayglade.placement import LEASE_NAME, Placer
-from bayglade.presence import Presence
 from bayglade.responses import (
     Environ,
     Response,
     StartResponse,
     error_response,
     json_response,
-    start,
+    to_wsgi,
 )
 from bayglade.revisions import Current, Revisions
 from bayglade.router import Router
@@ -97,7 +97,7 @@
             self._apply_heartbeat,
             self.rng,
         )
-        self.presence = Presence(self.metrics)
+        self.presence = DisconnectWatcher(self.metrics)
         self.callers = callers.Callers(
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
@@ -150,7 +150,7 @@
         self.metrics.send_timing("request.first_byte", now() - started)
         # The unread rest of a body would be parsed as the next request.
         close = self.membership.draining or response.status in (400, 413)
-        return start(response, environ, start_response, close)
+        return to_wsgi(response, environ, start_response, close)
 
     def _respond(self, environ: Environ) -> Response:
         path = environ["PATH_INFO"]
@@ -309,7 +309,7 @@
             self.membership.watch()
             self._update_leaving()
             self.router.update_capacity_fraction(len(self.membership.live()) + 1)
-            self.router.admission.fail_uncovered()
+            self.router.admission.reject_uncovered()
             self.router.admission.dispatch_all()
 
 
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -16,7 +16,7 @@
 from bayglade.clock import SuspensionDetector, now, use_boottime_timers
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
-from bayglade.ends import watch_ends
+from bayglade.disconnects import CallerDisconnected, DisconnectWatcher
 from bayglade.epochs import GuardedTable, StoreHistory
 from bayglade.exceptions import BaygladeError, InvalidSettings, Stopping
 from bayglade.feeds import Feed, look_together
@@ -38,20 +38,20 @@
 from bayglade.logs import event
 from bayglade.mechanisms import Mechanism
 from bayglade.metrics import create_metrics
-from bayglade.paths import Paths
+from bayglade.paths import PathSelector
 from bayglade.peering import Peering
-from bayglade.presence import CallerLeft, Presence
 from bayglade.quarantine import Quarantine
-from bayglade.relay import Peers
+from bayglade.relay import RelayContext
 from bayglade.responses import JSON_TYPE
-from bayglade.retries import spread_retry_after
+from bayglade.retries import jittered_retry_after
 from bayglade.rows import Changes
+from bayglade.server_termination import watch_server_termination
 from bayglade.settings import CallerLimits
 from bayglade.streams import relay_stream
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 from bayglade.usage import Usage
 from bayglade.wait_queues import WaitQueues
-from bayglade.wholes import relay_whole
+from bayglade.wholes import relay_buffered
 
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
@@ -97,13 +97,13 @@
         self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
         rows = GuardedTable(self.store, self.history)
         self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN_SECONDS)
-        self.links = Links()
-        self.fleet.on_restart.append(self.links.drop)
+        self.links = ConnectionPool()
+        self.fleet.on_restart.append(self.links.close_idle)
         self.control = platform.Engines(self.links)
         self.diagnosis = Diagnosis(self.fleet, self.control, self.rng)
-        self.diagnosis.rests = self.links.rests
-        self.diagnosis.drop = self.links.drop
-        self.diagnosis.distrust = self.links.distrust
+        self.diagnosis.rests = self.links.has_idle
+        self.diagnosis.drop = self.links.close_idle
+        self.diagnosis.distrust = self.links.distrust_before
         self.diagnosis.by_turns = Mechanism.TURNS not in config.without
         self.document_feed = Feed(
             self.store,
@@ -129,15 +129,15 @@
         self.usage = Usage()
         self.wait_queues = WaitQueues(self.usage, self.intake.share_of)
         self.quarantine = Quarantine(secrets.token_bytes(FINGERPRINT_KEY_BYTES), self.rng)
-        watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
-        self.peers = Peers(
+        watch_server_termination(self.fleet, self.links, self.diagnosis, self.quarantine)
+        self.peers = RelayContext(
             fleet=self.fleet,
-            paths=Paths(self.fleet, config.hall, config.without, self.rng),
-            links=self.links,
+            paths=PathSelector(self.fleet, config.hall, config.without, self.rng),
+            pool=self.links,
             dialect=dialect,
             control=self.control,
             diagnosis=self.diagnosis,
-            check=self.intake.check,
+            check_authorization=self.intake.check,
             wait_queues=self.wait_queues,
             quarantine=self.quarantine,
             new_budget=lambda: self.peering.new_budget(),
@@ -145,7 +145,7 @@
             rng=self.rng,
             without=config.without,
         )
-        self.peers.paths.warm = self.links.rests
+        self.peers.paths.has_idle_connection = self.links.has_idle
         self.loader = Loader(
             self.fleet,
             self.control,
@@ -170,7 +170,7 @@
         )
         self.loader.daemons = self.peering.count
         look_together(self._feeds())
-        self.presence = Presence(self.metrics)
+        self.presence = DisconnectWatcher(self.metrics)
         self.active_requests: set[RequestId] = set()
         self.draining = False
         self.draining_since = 0.0
@@ -231,7 +231,7 @@
         paths = [
             path
             for service, pipeline in self.intake.pipelines().items()
-            for path in self.peers.paths.of_halls(service, pipeline)
+            for path in self.peers.paths.typical_by_hall(service, pipeline)
         ]
         return Beliefs(
             member=self.config.member,
@@ -283,11 +283,11 @@
             self._check_draining(call)
             self.quarantine.check(call)
             self.active_requests.add(request)
-            with self.presence.watching(connection.sock):
+            with self.presence.watch(connection.sock):
                 self._relay_call(call, connection)
         except BaygladeError as error:
             self._report_failure(connection, error, request, started)
-        except (CallerLeft, OSError):
+        except (CallerDisconnected, OSError):
             # Detected while waiting, or by a failed send.
             event("INFO", "caller left", request=request, after=round(now() - started, 3))
             raise
@@ -300,7 +300,7 @@
         if not self.draining or now() - self.draining_since < DRAIN_ACCEPT_SECONDS:
             return
         if call.deadline > self._exit_time():
-            retry_seconds = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+            retry_seconds = jittered_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
             raise Stopping("this daemon is shutting down", step="intake", retry_after=retry_seconds)
 
     def _exit_time(self) -> float:
@@ -313,7 +313,7 @@
         if service is not None and service.pipeline is not None:
             relay_stream(self.peers, call, service.pipeline, connection)
         else:
-            relay_whole(self.peers, call, connection)
+            relay_buffered(self.peers, call, connection)
 
     def _report_failure(
         self, connection: Connection, error: BaygladeError, request: RequestId, started: float
@@ -353,7 +353,7 @@
             eventlet.sleep(HOUSEKEEPING_INTERVAL)
             if (seconds := suspensions.suspended_seconds()) > 0:
                 event("WARNING", "host was suspended", seconds=round(seconds, 2))
-            self.links.forget(set(self.fleet.servers))
+            self.links.prune(set(self.fleet.servers))
             self.quarantine.tidy()
             self._update_gauges()
             self.listing.log_staleness(self.document_feed.age())
--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -16,7 +16,7 @@
 from bayglade.ids import Digest, GroupPath, Revision, ServiceName
 from bayglade.logs import event
 from bayglade.pipelines import Pipeline
-from bayglade.retries import spread_retry_after
+from bayglade.retries import jittered_retry_after
 from bayglade.revisions import EMPTY, Current
 from bayglade.settings import CallerLimits, Tree, digest_of, level_at, priority_of
 
@@ -142,7 +142,11 @@
             if self.age() > STALE_OF_TRUST * self.key_trust:
                 raise self._cut_off("the settings known here are old") from error
             raise
-        seconds = endpoint.timeout if head.seconds is None else min(head.seconds, endpoint.timeout)
+        seconds = (
+            endpoint.timeout
+            if head.timeout_seconds is None
+            else min(head.timeout_seconds, endpoint.timeout)
+        )
         call = Call(
             head=head,
             endpoint=endpoint,
@@ -207,5 +211,5 @@
         return priority_of(self.tree, group)
 
     def _cut_off(self, message: str) -> BaygladeError:
-        again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+        again = jittered_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
         return CutOff(message, step="intake", retry_after=again)
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -34,7 +34,7 @@
 from bayglade.lost_rows import KEEP_SECONDS, recover, stored_members, write_delay
 from bayglade.quotas import Quotas, choose_keeper
 from bayglade.readers import LOST_SECONDS, Duty, Lost, Order, Plan, make_plan, streams_of
-from bayglade.relay import Peers
+from bayglade.relay import RelayContext
 from bayglade.retries import BUDGET_FLOOR, RetryBudget
 from bayglade.roster import MemberRow, Roster, join, mark_gone, read_roster
 from bayglade.rows import Changes, Position, Table, was_restored
@@ -78,7 +78,7 @@
         history: StoreHistory,
         intake: Intake,
         usage: Usage,
-        peers: Peers,
+        peers: RelayContext,
         rng: random.Random,
     ) -> None:
         self.config = config
@@ -126,7 +126,7 @@
             self._keeper,
             self._route,
             self._push,
-            peers.wait_queues.wake,
+            peers.wait_queues.grant_places,
             rng,
         )
         if config.peer_ports:
@@ -339,8 +339,8 @@
         membership.on_quota_return = self.quotas.heard_return
         membership.fetch_after = FETCH_AFTER_SECONDS if self.intake.caught_up else 0.0
         membership.caught_up = lambda: self.intake.caught_up
-        self.peers.paths.elsewhere = lambda: self.totals.elsewhere(self._loads())
-        self.peers.paths.daemons = lambda: self.totals.neighbours() + 1
+        self.peers.paths.remote_loads = lambda: self.totals.elsewhere(self._loads())
+        self.peers.paths.daemon_count = lambda: self.totals.neighbours() + 1
         self.peers.diagnosis.daemons = membership.count
         self.peers.paths.pipes.daemons = membership.count
         return membership
--- a/bayglade/retries.py
+++ b/bayglade/retries.py
@@ -1,4 +1,4 @@
-"""Budgets for retries, and when callers should come back."""
+"""Retry budgets, retry delays, and Retry-After times for callers."""
 
 import random
 from collections import deque
@@ -8,24 +8,28 @@
 BUDGET_WINDOW = 10.0
 BUDGET_FRACTION = 0.1
 BUDGET_FLOOR = 10.0
-SPREAD = 0.5
-FIRST_PAUSE = 0.1
+"""Defaults of :class:`RetryBudget`."""
+JITTER = 0.5
+"""Random part of delays and of Retry-After times."""
+BASE_DELAY = 0.1
+"""Delay before the first retry, in seconds and before jitter."""
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 60.0
+"""Bounds on Retry-After times in seconds, before jitter."""
 
 
 class RetryBudget:
     """Allows retries up to a fraction of recent requests, plus a small floor.
 
-    Retries are counted in a sliding window: a sum that decays would let twice
-    as many through within one window.
+    Retries are counted in a sliding window. An exponentially decaying sum would
+    allow twice as many within one window.
 
-    :param fraction: part of the recent requests.
-    :param floor: retries that are allowed besides; may change as daemons come and go.
-    :param window: seconds over which both are counted.
+    :param fraction: allowed retries as a fraction of the recent requests.
+    :param floor: retries allowed in addition; may change as daemons join and leave.
+    :param window: seconds over which requests and retries are counted.
     """
 
-    __slots__ = ("floor", "fraction", "loan", "loan_until", "requests", "retries", "window")
+    __slots__ = ("floor", "fraction", "loan", "loan_expires", "requests", "retries", "window")
 
     def __init__(
         self,
@@ -39,75 +43,75 @@
         self.requests = DecayingSum(window)
         self.retries: deque[float] = deque()
         self.loan = 0
-        """Retries that another daemon lent; they count there."""
+        """Retries lent by another daemon; they are counted against that daemon's budget."""
 
-        self.loan_until = 0.0
+        self.loan_expires = 0.0
 
     def __repr__(self) -> str:
         return f"<RetryBudget {len(self.retries)} of {self.requests.value:.1f}>"
 
-    def request(self) -> None:
-        """Count a first try."""
+    def note_request(self) -> None:
+        """Count a request's first attempt."""
         self.requests.add(1.0, now())
 
-    def retry(self) -> bool:
+    def acquire(self) -> bool:
         """Take one retry from the budget.
 
-        :return: false when the budget is spent.
+        :return: false if the budget is exhausted.
         """
         at = now()
-        if not self._own_left(at):
+        if not self._own_available(at):
             return self._use_loan(at)
         self.retries.append(at)
         return True
 
-    def left(self) -> bool:
-        """Tell whether a retry could be taken now."""
+    def available(self) -> bool:
+        """Return whether a retry could be taken now."""
         at = now()
-        return self._own_left(at) or self._loan_left(at)
+        return self._own_available(at) or self._loan_available(at)
 
-    def _own_left(self, at: float) -> bool:
+    def _own_available(self, at: float) -> bool:
         while self.retries and self.retries[0] <= at - self.window:
             self.retries.popleft()
         return len(self.retries) + 1.0 <= self.floor + self.fraction * self.requests.read(at)
 
-    def _loan_left(self, at: float) -> bool:
-        return self.loan > 0 and at < self.loan_until
+    def _loan_available(self, at: float) -> bool:
+        return self.loan > 0 and at < self.loan_expires
 
-    def borrowed(self, amount: int, until: float) -> None:
-        """Take in a loan; what was left of an earlier one that still holds is kept.
+    def add_loan(self, amount: int, until: float) -> None:
+        """Add a loan; what remains of an earlier loan that has not expired is kept.
 
-        :param amount: how many retries.
-        :param until: when the loan ends, in monotonic seconds.
+        :param amount: number of retries.
+        :param until: when the loan expires, in monotonic seconds.
         """
-        left = self.loan if now() < self.loan_until else 0
+        left = self.loan if now() < self.loan_expires else 0
         self.loan = left + amount
-        self.loan_until = min(until, self.loan_until) if left else until
+        self.loan_expires = min(until, self.loan_expires) if left else until
 
     def _use_loan(self, at: float) -> bool:
-        if not self._loan_left(at):
+        if not self._loan_available(at):
             return False
         self.loan -= 1
         return True
 
 
-def retry_pause(attempt: int, rng: random.Random) -> float:
-    """Return how long to wait before servers that failed are tried again.
+def retry_delay(attempt: int, rng: random.Random) -> float:
+    """Return the delay before servers that failed are tried again.
 
-    :param attempt: how many attempts have failed.
-    :param rng: source of the spread.
-    :return: seconds, doubling with each attempt, spread by half.
+    :param attempt: number of failed attempts.
+    :param rng: source of the jitter.
+    :return: seconds, doubling with each attempt and reduced at random by up to half.
     """
-    return FIRST_PAUSE * 2.0 ** (attempt - 1) * (1.0 - SPREAD * rng.random())
+    return BASE_DELAY * 2.0 ** (attempt - 1) * (1.0 - JITTER * rng.random())
 
 
-def spread_retry_after(seconds: float, rng: random.Random, least: float = MIN_RETRY_AFTER) -> float:
-    """Spread the moments at which refused callers come back.
+def jittered_retry_after(seconds: float, rng: random.Random, minimum: float = MIN_RETRY_AFTER) -> float:
+    """Add jitter to a Retry-After time, so that rejected callers do not return all at once.
 
-    :param seconds: when coming back would help at the earliest.
-    :param rng: source of the spread.
-    :param least: lower bound; small where another daemon can answer at once.
-    :return: seconds, between the earliest and half as much again, within bounds.
+    :param seconds: the earliest time at which a retry is useful, in seconds from now.
+    :param rng: source of the jitter.
+    :param minimum: lower bound; small if another daemon can answer at once.
+    :return: seconds, from the earliest time up to half as much again, within bounds.
     """
-    base = min(max(seconds, least), MAX_RETRY_AFTER)
-    return base * (1.0 + SPREAD * rng.random())
+    base = min(max(seconds, minimum), MAX_RETRY_AFTER)
+    return base * (1.0 + JITTER * rng.random())
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -24,7 +24,7 @@
 from bayglade.logs import event
 from bayglade.metrics import Metrics
 from bayglade.models import Completion, Request, ServiceRequest
-from bayglade.retries import RetryBudget, spread_retry_after
+from bayglade.retries import RetryBudget, jittered_retry_after
 from bayglade.services import Services
 from bayglade.services.wire import ServiceAnswer
 from bayglade.settings import ROOT, Service, Tree
@@ -150,11 +150,11 @@
 
     def _call_with_retries(self, request: ServiceRequest, service: Service) -> ServiceAnswer:
         budget = self.service_retry_budgets.setdefault(request.group, RetryBudget())
-        budget.request()
+        budget.note_request()
         last_error: BackendError | None = None
         may_have_run = False
         for backend in self._candidate_servers(service):
-            if last_error is not None and not budget.retry():
+            if last_error is not None and not budget.acquire():
                 break
             if request.seconds_left() <= 0:
                 raise self._deadline_error(last_error, may_have_run)
@@ -171,7 +171,7 @@
             raise NoRoute(
                 f"no server of {request.service} is live",
                 step="route",
-                retry_after=spread_retry_after(2.0, self.rng),
+                retry_after=jittered_retry_after(2.0, self.rng),
             )
         if may_have_run:
             last_error.outcome = Outcome.UNKNOWN
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -26,7 +26,7 @@
 from bayglade.spreading import Spreading
 from bayglade.tiling import Span
 from bayglade.totals import Totals
-from bayglade.upstream import Links
+from bayglade.upstream import ConnectionPool
 from tests.server_rows import BORN, facts_of
 from tests.test_diagnosis import ALIVE, Stages
 from tests.test_tiling import SERVICE, pipeline, servers
@@ -268,8 +268,8 @@
 
 def test_connections_to_the_earlier_incarnation_are_closed() -> None:
     fleet = fleet_with_server()
-    links = Links()
-    fleet.on_restart.append(links.drop)
+    links = ConnectionPool()
+    fleet.on_restart.append(links.close_idle)
     closed: list[str] = []
     resting: Any = SimpleNamespace(sock=SimpleNamespace(close=lambda: closed.append("closed")))
     links.idle[ID] = deque([resting])
