--- a/bayglade/beliefs.py
+++ b/bayglade/beliefs.py
@@ -150,7 +150,7 @@
     return [
         StopBelief(
             content=name,
-            ends=sorted(start.backend for start in evidence.ends),
+            ends=sorted(start.backend for start in evidence.crashed_on),
             seconds=round(now() - (evidence.stopped_at or 0.0), 1),
             in_store=evidence.in_store,
         )
--- a/bayglade/ends.py
+++ b/bayglade/ends.py
@@ -30,7 +30,7 @@
 
     def unlisted(server: Server) -> None:
         facts = server.facts
-        if facts.key in quarantine.unsure:
+        if facts.key in quarantine.unconfirmed:
             eventlet.spawn_n(look, server)
 
     def look(server: Server) -> None:
@@ -40,7 +40,7 @@
 
     def answered(server: Server, asked_at: float) -> None:
         server.refused = False
-        quarantine.server_lives(server.facts.key, asked_at)
+        quarantine.server_alive(server.facts.key, asked_at)
 
     fleet.on_ended = quarantine.server_ended
     fleet.on_unlisted = unlisted
--- a/bayglade/fingerprints.py
+++ b/bayglade/fingerprints.py
@@ -11,7 +11,7 @@
 LENGTH_BYTES = 4
 
 
-class Question(NamedTuple):
+class RequestContent(NamedTuple):
     """What a request asks: all but its id, its deadline and the event that a stream goes on after."""
 
     group: GroupPath | None
@@ -21,9 +21,9 @@
     body: bytes
 
 
-def question_of(call: Call) -> Question:
+def request_content(call: Call) -> RequestContent:
     """Return what a request asks."""
-    return Question(call.group, call.method, call.head.host.lower(), call.target, call.body)
+    return RequestContent(call.group, call.method, call.head.host.lower(), call.target, call.body)
 
 
 def fingerprint_of(call: Call, secret: bytes) -> Fingerprint:
@@ -32,25 +32,25 @@
     :param call: the request.
     :param secret: key of the digest, the same for all daemons of a site.
     """
-    return name_question(question_of(call), secret)
+    return fingerprint_of_content(request_content(call), secret)
 
 
-def name_question(asked: Question, secret: bytes) -> Fingerprint:
+def fingerprint_of_content(content: RequestContent, secret: bytes) -> Fingerprint:
     """Name what a request asks.
 
     The digest is keyed, so that a log line or a row tells nothing of what a caller sent.
 
-    :param asked: what it asks.
+    :param content: what it asks.
     :param secret: key of the digest, the same for all daemons of a site.
     """
     digest = hashlib.blake2b(key=secret, digest_size=DIGEST_BYTES)
-    texts = (asked.group or "", asked.method, asked.host)
-    for part in (*(text.encode() for text in texts), asked.target, asked.body):
+    texts = (content.group or "", content.method, content.host)
+    for part in (*(text.encode() for text in texts), content.target, content.body):
         digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
         digest.update(part)
     return Fingerprint(digest.hexdigest())
 
 
-def key_of(secret: bytes) -> bytes:
+def derive_key(secret: bytes) -> bytes:
     """Derive the key of fingerprints from the secret that the daemons of a site share."""
     return hashlib.blake2b(secret, person=b"fingerprints", digest_size=32).digest()
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -13,7 +13,7 @@
 from bayglade.entries.wire import Borrow, Lent
 from bayglade.fanout import Push
 from bayglade.ids import MemberId
-from bayglade.questions import Questions
+from bayglade.questions import PendingReplies
 from bayglade.retries import RetryBudget
 
 POOLED_PART = 0.7
@@ -45,7 +45,7 @@
         """A reader lends nothing before: what was lent by one before it still counts."""
 
         self.lent: dict[str, RetryBudget] = {}
-        self.questions: Questions[int] = Questions()
+        self.questions: PendingReplies[int] = PendingReplies()
 
     def __repr__(self) -> str:
         return f"<Pools {self.floor:.0f} to lend>"
@@ -83,7 +83,7 @@
 
     def heard_lent(self, member: MemberId, message: Lent) -> None:
         """Hand a loan to the request that waits for it; a late one is lost."""
-        self.questions.answered(message.number, message.amount)
+        self.questions.resolve(message.number, message.amount)
 
     def borrow(self, service: str, budget: RetryBudget) -> None:
         """Borrow for a budget that is spent; returns at once where nobody lends.
@@ -98,9 +98,9 @@
             budget.borrowed(amount, now() + LOAN_SECONDS)
 
     def _ask(self, readers: Sequence[MemberId], service: str) -> int:
-        reader = readers[self.questions.numbers % len(readers)]
+        reader = readers[self.questions.last_number % len(readers)]
         return (
-            self.questions.ask(
+            self.questions.request(
                 lambda number: self.push(reader, Borrow(number, service, LOAN)), BORROW_SECONDS
             )
             or 0
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -24,7 +24,7 @@
 from bayglade.exceptions import PlatformUnavailable
 from bayglade.fanout import Fanout
 from bayglade.feeds import Feed
-from bayglade.fingerprints import key_of
+from bayglade.fingerprints import derive_key
 from bayglade.freshness import wait_within
 from bayglade.ids import MemberId
 from bayglade.intake import Intake
@@ -146,7 +146,7 @@
         self.roster = join(self.store, self.feed.table, self.config.member, self._row())
         assert self.roster.secret is not None
         self.membership = self._membership(self.roster.secret)
-        self.peers.quarantine.use_key(key_of(self.roster.secret))
+        self.peers.quarantine.use_key(derive_key(self.roster.secret))
         eventlet.spawn_n(self.membership.serve, listening)
         event("INFO", "joined", address=self.address, members=len(self.roster.members))
         self._assign()
@@ -255,7 +255,9 @@
         quarantine = self.peers.quarantine
         for name, evidence in quarantine.unwritten():
             evidence.write_at = now() + STOP_RETRY_SECONDS
-            eventlet.spawn_n(self._change_stop, partial(write_stop, self.store, name, set(evidence.ends)))
+            eventlet.spawn_n(
+                self._change_stop, partial(write_stop, self.store, name, set(evidence.crashed_on))
+            )
         over = quarantine.take_lifts()
         if self.plan.readers.get(self.config.hall, ())[:1] == (self.config.member,):
             over += quarantine.expired()
@@ -348,7 +350,7 @@
     def _take_roster(self, changes: Changes, whole: bool) -> None:
         restored = whole and was_restored(self.roster_position, changes.position)
         self.roster_position = changes.position
-        self.peers.quarantine.take_stored(read_stops(changes.rows), whole, restored)
+        self.peers.quarantine.merge_stored(read_stops(changes.rows), whole, restored)
         before, self.roster = self.roster, read_roster(changes.rows, Roster() if whole else self.roster)
         if self.membership is None:
             return
@@ -394,7 +396,7 @@
             return
         event("WARNING", "secret changed")
         membership.secret = stored
-        self.peers.quarantine.use_key(key_of(stored))
+        self.peers.quarantine.use_key(derive_key(stored))
 
     def _assign(self) -> None:
         """Take in who the other gateways are."""
--- a/bayglade/questions.py
+++ b/bayglade/questions.py
@@ -9,25 +9,25 @@
 T = TypeVar("T")
 
 
-class Questions(Generic[T]):
+class PendingReplies(Generic[T]):
     """The questions of one kind that this daemon waits for answers to."""
 
     def __init__(self) -> None:
-        self.numbers = 0
+        self.last_number = 0
         self.waiting: dict[int, Event] = {}
 
     def __repr__(self) -> str:
         return f"<Questions {len(self.waiting)} waiting>"
 
-    def ask(self, send: Callable[[int], None], seconds: float) -> T | None:
+    def request(self, send: Callable[[int], None], seconds: float) -> T | None:
         """Ask, and wait for the answer.
 
         :param send: sends the question with the number that its answer will bear.
         :param seconds: how long to wait.
         :return: the answer; nothing when none came in time.
         """
-        self.numbers += 1
-        number = self.numbers
+        self.last_number += 1
+        number = self.last_number
         event = self.waiting[number] = Event()
         send(number)
         try:
@@ -38,7 +38,7 @@
         finally:
             self.waiting.pop(number, None)
 
-    def answered(self, number: int, answer: T) -> None:
+    def resolve(self, number: int, answer: T) -> None:
         """Hand an answer to whoever waits for it; a late one is lost."""
         event = self.waiting.pop(number, None)
         if event is not None:
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -18,7 +18,7 @@
 from bayglade.entries.wire import LimitNotice, QuotaReply, QuotaRequest, QuotaReturn
 from bayglade.fanout import Push
 from bayglade.ids import MemberId, ServerKey, ServiceName
-from bayglade.questions import Questions
+from bayglade.questions import PendingReplies
 from bayglade.rate_limits import RateLimits, lent_rate
 from bayglade.servers import Server
 
@@ -93,7 +93,7 @@
         self.wake = wake
         self.rng = rng
         self.pools: dict[ServerKey, Pool] = {}
-        self.questions: Questions[QuotaReply] = Questions()
+        self.questions: PendingReplies[QuotaReply] = PendingReplies()
         limits.on_wanted = self.want
 
     def __repr__(self) -> str:
@@ -145,7 +145,7 @@
 
     def heard_reply(self, member: MemberId, message: QuotaReply) -> None:
         """Take in what a keeper lends; a late answer is lost."""
-        self.questions.answered(message.number, message)
+        self.questions.resolve(message.number, message)
 
     def heard_return(self, member: MemberId, message: QuotaReturn) -> None:
         """Take back a request that was lent and not sent."""
@@ -184,7 +184,7 @@
         over = self.route(keeper) if keeper is not None else None
         if over is None:
             return QuotaReply(wait=UNREACHED_SECONDS)
-        reply = self.questions.ask(
+        reply = self.questions.request(
             lambda number: self.push(over, QuotaRequest(number, notice, hops)), ASK_SECONDS
         )
         return reply or QuotaReply(wait=UNREACHED_SECONDS)
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -171,7 +171,7 @@
 
     def may_repeat(self, peers: Peers) -> bool:
         """Tell whether the call could be sent once more, without taking that from the budget."""
-        if self.sent >= MAX_SENDINGS or peers.quarantine.holds(self.call):
+        if self.sent >= MAX_SENDINGS or peers.quarantine.is_stopped(self.call):
             return False
         return self.has_budget(peers)
 
@@ -240,10 +240,10 @@
     A server that was asked in the moment of its end may just have broken the question off: those of which
     nothing is sure are looked at once more.
     """
-    seconds = peers.quarantine.gather_seconds(call)
+    seconds = peers.quarantine.resend_delay(call)
     if seconds <= 0:
         return
-    for start in peers.quarantine.unsure_of(call):
+    for start in peers.quarantine.unconfirmed_servers(call):
         if (server := peers.fleet.current(start)) is not None:
             eventlet.spawn_n(look_at, peers, server)
     _gather(min(seconds, max(0.0, call.seconds_left())))
@@ -276,4 +276,4 @@
     """
     if error.outcome is Outcome.NOT_RUN:
         return None
-    return peers.quarantine.name(call)
+    return peers.quarantine.fingerprint_for(call)
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -200,7 +200,7 @@
 
     :param across: whether stages of other halls may step in.
     """
-    if now() < run.move_at or peers.quarantine.holds(call):
+    if now() < run.move_at or peers.quarantine.is_stopped(call):
         return None
     return peers.paths.detour(run.path, call.service, pipeline, run.avoided, across)
 
@@ -274,10 +274,10 @@
     It ends one of its stages at most, and one behind the first may have ended before the request was sent,
     as is likely where several end at once: innocent requests would be held back for such ends.
     """
-    if run.blamed or (stage is not run.path.servers[0] and peers.quarantine.many_ended(call)):
+    if run.blamed or (stage is not run.path.servers[0] and peers.quarantine.mass_crash(call)):
         return
     run.blamed = True
-    peers.quarantine.broke_off(call, stage.facts.key, run.begun_at, run.on_path_at)
+    peers.quarantine.note_interrupted(call, stage.facts.key, run.begun_at, run.on_path_at)
 
 
 def _end_or_stay(
@@ -304,7 +304,7 @@
 
 def _may_stay(peers: Peers, call: Call) -> bool:
     """Tell whether a begun stream may wait until others hold the layers of an ended stage."""
-    return Mechanism.BEGUN_WAIT not in peers.without and not peers.quarantine.holds(call)
+    return Mechanism.BEGUN_WAIT not in peers.without and not peers.quarantine.is_stopped(call)
 
 
 def _can_resend(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> bool:
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -40,7 +40,7 @@
     """
     facts = server.facts
     check_sending(peers, call, server)
-    peers.quarantine.sent(call, facts.id)
+    peers.quarantine.note_sent(call, facts.id)
     max_idle = FRESH_SECONDS if call.once else IDLE_SECONDS
     exchange = open_exchange(peers.links, facts.id, facts.address, max_idle)
     try:
--- a/bayglade/spreading.py
+++ b/bayglade/spreading.py
@@ -65,9 +65,9 @@
 
         self.breaks: list[Crash] = []
 
-        quarantine.on_news = self._tell_soon
+        quarantine.on_update = self._tell_soon
         quarantine.on_proven = self._tell_proven
-        quarantine.on_break = self._tell_break
+        quarantine.on_interrupted = self._tell_break
         fleet.rate_limits.on_news = self._tell_limits
         fleet.on_said_leaving = self._tell_leaving
         self.dead = Reports()
@@ -89,10 +89,10 @@
         dead = self.dead.add(finding for finding in found.dead if self._present(finding))
         back = self.back.add(finding for finding in found.back if self._present(finding))
         # Before the ends, so that nothing proven is held back for these.
-        proven = self.quarantine.hear_proven(found.proven)
-        crashes, cleared = self.quarantine.hear(found.crashes, found.cleared)
+        proven = self.quarantine.merge_proven(found.proven)
+        crashes, cleared = self.quarantine.merge_crashes(found.crashes, found.cleared)
         leaving = [key for key in found.leaving if self._take_leaving(key)]
-        breaks = self.quarantine.hear_breaks(found.breaks)
+        breaks = self.quarantine.merge_interruptions(found.breaks)
         limits = self.fleet.rate_limits.heard(found.limits)
         news = Findings(dead, back, crashes, cleared, leaving, proven, breaks, limits)
         if self.passes_on() and news != Findings():
@@ -102,7 +102,7 @@
 
     def greeting(self) -> list[Findings]:
         """Return what a daemon is to know that has just joined, or was out of reach."""
-        crashes, proven = self.quarantine.known()
+        crashes, proven = self.quarantine.snapshot()
         limits = self.fleet.rate_limits.known()
         if not crashes and not limits:
             return []
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -32,7 +32,7 @@
 from bayglade.runs import Run, blame, leave_planned, look_into
 from bayglade.sending import answer_head, send
 from bayglade.servers import Server
-from bayglade.trials import ended_stages, heads_to_avoid
+from bayglade.trials import heads_to_avoid, refusing_stages
 from bayglade.upstream import Exchange
 
 WAIT_SECONDS = 1.5
@@ -126,7 +126,7 @@
                 break
             avoided = frozenset()
             continue
-        if ended := ended_stages(peers, call, path.servers):
+        if ended := refusing_stages(peers, call, path.servers):
             path.release()
             # As with any server that is not reached: else one that is not suspect is chosen on and on.
             attempts.unreached += 1
@@ -287,7 +287,7 @@
 
     choosy = bool(avoided) or attempts.only() is not None
     path = peers.wait_queues.wait(
-        call, seek, call.deadline, choosy, begun=True, hopeless=lambda: peers.quarantine.holds(call)
+        call, seek, call.deadline, choosy, begun=True, hopeless=lambda: peers.quarantine.is_stopped(call)
     )
     event(
         "INFO",
@@ -301,7 +301,7 @@
 
 
 def _note_answer(peers: Peers, call: Call, delivery: Delivery, attempts: Attempts) -> None:
-    peers.quarantine.answered(call)
+    peers.quarantine.note_answered(call)
     if delivery.first_seconds is not None:
         peers.metrics.observe("first_event_seconds", delivery.first_seconds)
         peers.metrics.observe("longest_gap_seconds", delivery.longest_gap)
--- a/bayglade/trials.py
+++ b/bayglade/trials.py
@@ -15,8 +15,8 @@
 from bayglade.relay import Peers, look_at
 from bayglade.servers import Server
 
-TRIAL_POLL = 0.05
-ENDED_SECONDS = 0.1
+TRIAL_POLL_SECONDS = 0.05
+PROBE_SECONDS = 0.1
 """How long stages may take to accept a connection when they are looked at."""
 
 
@@ -31,21 +31,21 @@
     :param avoided: servers that it does not go to anyway.
     :return: all other first stages; nothing when the call is no suspect, or there is none apart.
     """
-    if not peers.quarantine.suspects(call):
+    if not peers.quarantine.is_suspect(call):
         return frozenset()
     heads = [
         server
         for server in peers.fleet.usable(call.service)
         if server.facts.held and server.facts.first == 0 and server.facts.id not in avoided
     ]
-    apart = wait_apart(peers, call, heads)
+    apart = wait_for_isolated(peers, call, heads)
     if not apart:
         return frozenset()
     chosen = min(peers.rng.sample(apart, min(2, len(apart))), key=lambda server: server.cached)
     return frozenset(server.facts.id for server in heads if server is not chosen)
 
 
-def wait_apart(peers: Peers, call: Call, servers: Sequence[Server]) -> list[Server]:
+def wait_for_isolated(peers: Peers, call: Call, servers: Sequence[Server]) -> list[Server]:
     """Return the servers on which no other suspect of this daemon has just begun.
 
     :param peers: what the relay works with.
@@ -54,14 +54,14 @@
     """
     until = min(call.deadline, now() + TRIAL_SECONDS)
     while True:
-        others = peers.quarantine.on_trial(call)
+        others = peers.quarantine.servers_on_trial(call)
         apart = [server for server in servers if server.facts.id not in others]
         if apart or not servers or now() >= until:
             return apart
-        eventlet.sleep(TRIAL_POLL)
+        eventlet.sleep(TRIAL_POLL_SECONDS)
 
 
-def ended_stages(peers: Peers, call: Call, servers: Sequence[Server]) -> frozenset[BackendId]:
+def refusing_stages(peers: Peers, call: Call, servers: Sequence[Server]) -> frozenset[BackendId]:
     """Return the servers of a path that have ended already, before a call that one more end would stop.
 
     Of servers that end at once some are not known to have ended yet; a call that was sent over one would
@@ -72,10 +72,10 @@
     :param servers: the servers that it would go to.
     :return: those that refuse connections; nothing when the call may still break off once more.
     """
-    if peers.quarantine.gather_seconds(call) <= 0:
+    if peers.quarantine.resend_delay(call) <= 0:
         return frozenset()
     looks = [eventlet.spawn(look_at, peers, server) for server in servers]
-    with eventlet.Timeout(ENDED_SECONDS, False):
+    with eventlet.Timeout(PROBE_SECONDS, False):
         for look in looks:
             look.wait()
     ended = [server for server in servers if server.refused]
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -20,7 +20,7 @@
 from bayglade.relay import Attempts, Peers, await_word, content_of, look_at
 from bayglade.sending import answer_head, send
 from bayglade.servers import Server
-from bayglade.trials import wait_apart
+from bayglade.trials import wait_for_isolated
 
 PATIENCE_OF_AIM = 0.6
 """Part of the aim after which a repeatable call is tried at another server."""
@@ -79,7 +79,7 @@
     if answer is None:
         raise attempts.error(peers.rng)
     if answer.status < 500:
-        peers.quarantine.answered(call)
+        peers.quarantine.note_answered(call)
     connection.answer(answer.status, answer.headers, answer.content)
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.sent)
 
@@ -164,8 +164,8 @@
     fitting = [server for server in servers if server.opens_at(at) <= at]
     if not fitting or attempts.only() is not None:
         return None
-    if peers.quarantine.suspects(call):
-        fitting = wait_apart(peers, call, fitting) or fitting
+    if peers.quarantine.is_suspect(call):
+        fitting = wait_for_isolated(peers, call, fitting) or fitting
     own = peers.paths.hall
     return min(
         fitting,
@@ -203,6 +203,6 @@
 
 def _note_break(peers: Peers, call: Call, server: Server, error: BackendError) -> None:
     """Note that a server may have ended while it ran a call, and look whether it has."""
-    peers.quarantine.broke_off(call, server.facts.key, None)
+    peers.quarantine.note_interrupted(call, server.facts.key, None)
     if not isinstance(error, BackendSilent):
         eventlet.spawn_n(look_at, peers, server)
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -264,7 +264,7 @@
         looks += scene.attempts
         return frozenset({stages[-1].facts.id}) if 0 < looks <= MAX_UNREACHED + 3 else frozenset()
 
-    monkeypatch.setattr(streams, "ended_stages", ended)
+    monkeypatch.setattr(streams, "refusing_stages", ended)
     assert served(scene, scene.start(scene.break_off))
     assert looks > MAX_UNREACHED + 1
     assert scene.at_rest()
@@ -344,7 +344,7 @@
 ) -> None:
     task = scene.start(scene.break_off_full)
     eventlet.sleep(LATER)
-    monkeypatch.setattr(scene.quarantine, "holds", lambda call: True)
+    monkeypatch.setattr(scene.quarantine, "is_stopped", lambda call: True)
     with eventlet.Timeout(2.0):
         task.wait()
     assert scene.error is not None
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -37,14 +37,14 @@
         self.diagnosis: Any = SimpleNamespace()
         self.quarantine = Quarantine(b"key", random.Random(1))
         watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
-        self.quarantine.broke_off(call(), FACTS.key, None)
+        self.quarantine.note_interrupted(call(), FACTS.key, None)
 
     @property
     def server(self) -> Server:
         return self.fleet.servers[FACTS.id]
 
     def ended(self) -> bool:
-        return self.quarantine.suspects(call()) and not self.quarantine.unsure_of(call())
+        return self.quarantine.is_suspect(call()) and not self.quarantine.unconfirmed_servers(call())
 
 
 @pytest.fixture
@@ -92,6 +92,6 @@
 
 def test_a_report_shows_that_it_lives(scene: Scene) -> None:
     scene.diagnosis.on_answer(scene.server, float("inf"))
-    assert not scene.quarantine.suspects(call())
+    assert not scene.quarantine.is_suspect(call())
     scene.links.on_refused(FACTS.id, FACTS.address)
-    assert not scene.quarantine.suspects(call())
+    assert not scene.quarantine.is_suspect(call())
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bayglade import relay
-from bayglade.quarantine import GATHER_SECONDS
+from bayglade.quarantine import RESEND_DELAY_SECONDS
 from tests.test_quarantine import Clock
 
 
@@ -27,5 +27,5 @@
 
     monkeypatch.setattr(relay, "now", clock)
     monkeypatch.setattr(relay.eventlet, "sleep", sleep)
-    relay._gather(GATHER_SECONDS)
-    assert slept == [GATHER_SECONDS] * waits
+    relay._gather(RESEND_DELAY_SECONDS)
+    assert slept == [RESEND_DELAY_SECONDS] * waits
--- a/tests/test_harmless_questions.py
+++ b/tests/test_harmless_questions.py
@@ -24,13 +24,13 @@
 
 from bayglade import quarantine as quarantine_module
 from bayglade import stops
-from bayglade.answers import MAX_ANSWERS, MAX_BYTES, PROVEN_ANSWERS, PROVEN_SECONDS, Answers
+from bayglade.answers import MAX_ANSWERS, MAX_BODY_BYTES, PROVEN_ANSWERS, PROVEN_SECONDS, Answers
 from bayglade.calls import Call
 from bayglade.entries.wire import Crash
-from bayglade.evidence import MANY_SECONDS, MOST_ENDS
+from bayglade.evidence import COMMON_CAUSE_SECONDS, CRASHES_TO_STOP
 from bayglade.fingerprints import fingerprint_of
 from bayglade.ids import Fingerprint
-from bayglade.quarantine import WORD_SECONDS, Quarantine
+from bayglade.quarantine import ANSWER_GRACE_SECONDS, Quarantine
 from tests.test_quarantine import KEY, Clock, call, end_under, make, start, stop_rows, written
 from tests.test_roster import Rows
 
@@ -46,7 +46,7 @@
 
 def answer_often(quarantine: Quarantine, clock: Clock, times: int = 200, body: bytes = ASKED) -> None:
     for _ in range(times):
-        quarantine.answered(call(body))
+        quarantine.note_answered(call(body))
         clock.at += 0.05
 
 
@@ -57,21 +57,21 @@
         def tell(crashes: list[Crash], cleared: list[Fingerprint], teller: Quarantine = daemon) -> None:
             for other in daemons:
                 if other is not teller and (crashes or cleared):
-                    tell(*other.hear(crashes, cleared), other)
+                    tell(*other.merge_crashes(crashes, cleared), other)
 
         def tell_proven(names: list[Fingerprint], teller: Quarantine = daemon) -> None:
             for other in daemons:
                 if other is not teller and names:
-                    tell_proven(other.hear_proven(names), other)
+                    tell_proven(other.merge_proven(names), other)
 
-        daemon.on_news, daemon.on_proven = tell, tell_proven
+        daemon.on_update, daemon.on_proven = tell, tell_proven
 
 
-def end_late(quarantine: Quarantine, *bodies: bytes, count: int = MOST_ENDS, first: int = 0) -> None:
+def end_late(quarantine: Quarantine, *bodies: bytes, count: int = CRASHES_TO_STOP, first: int = 0) -> None:
     """Have servers break questions off, and word of their ends come late and at once."""
     numbers = range(first, first + count)
     for number, body in itertools.product(numbers, bodies):
-        quarantine.broke_off(call(body), start(number), None)
+        quarantine.note_interrupted(call(body), start(number), None)
     for number in numbers:
         quarantine.server_ended(start(number))
 
@@ -82,8 +82,8 @@
     answer_often(here, clock)
     end_late(here, ASKED, DEADLY)
     for daemon in (here, there):
-        assert daemon.holds(call(DEADLY))
-        assert not daemon.holds(call(ASKED))
+        assert daemon.is_stopped(call(DEADLY))
+        assert not daemon.is_stopped(call(ASKED))
 
 
 def test_it_is_not_held_back_when_its_answers_came_at_another_daemon(clock: Clock) -> None:
@@ -92,60 +92,60 @@
     answer_often(there, clock)
     end_late(here, ASKED, DEADLY)
     for daemon in (here, there, third):
-        assert daemon.holds(call(DEADLY))
-        assert not daemon.holds(call(ASKED))
+        assert daemon.is_stopped(call(DEADLY))
+        assert not daemon.is_stopped(call(ASKED))
 
 
 def test_it_is_not_held_back_when_servers_end_at_one_moment(clock: Clock) -> None:
     here, there = make(), make()
     join(here, there)
     answer_often(here, clock)
-    end_late(here, ASKED, count=2 * MOST_ENDS)
-    assert not here.holds(call(ASKED))
-    assert not there.holds(call(ASKED))
+    end_late(here, ASKED, count=2 * CRASHES_TO_STOP)
+    assert not here.is_stopped(call(ASKED))
+    assert not there.is_stopped(call(ASKED))
 
 
 def test_an_answer_at_a_calm_daemon_clears_ends_of_which_word_comes_later(clock: Clock) -> None:
     here, there = make(), make()
     join(here, there)
-    for number in range(MOST_ENDS):
-        here.broke_off(call(ASKED), start(number), None)
+    for number in range(CRASHES_TO_STOP):
+        here.note_interrupted(call(ASKED), start(number), None)
     clock.at += 1.0
     # Nothing stands against any request there yet.
-    there.answered(call(ASKED))
+    there.note_answered(call(ASKED))
     clock.at += 1.0
-    for number in range(MOST_ENDS):
+    for number in range(CRASHES_TO_STOP):
         here.server_ended(start(number))
-    assert not here.holds(call(ASKED))
-    assert not there.holds(call(ASKED))
+    assert not here.is_stopped(call(ASKED))
+    assert not there.is_stopped(call(ASKED))
 
 
 def test_one_that_begins_to_end_servers_by_itself_is_stopped(clock: Clock) -> None:
     here, there = make(), make()
     join(here, there)
     answer_often(here, clock)
-    for number in range(MOST_ENDS):
-        assert not here.holds(call(ASKED))
-        clock.at += MANY_SECONDS + 0.1
+    for number in range(CRASHES_TO_STOP):
+        assert not here.is_stopped(call(ASKED))
+        clock.at += COMMON_CAUSE_SECONDS + 0.1
         end_under(here, call(ASKED), range(number, number + 1))
-    assert here.holds(call(ASKED))
-    assert there.holds(call(ASKED))
+    assert here.is_stopped(call(ASKED))
+    assert there.is_stopped(call(ASKED))
 
 
 def test_harmless_ones_that_change_explain_nothing(clock: Clock) -> None:
     quarantine = make()
     answer_often(quarantine, clock)
-    for number in range(MOST_ENDS):
-        clock.at += MANY_SECONDS + 0.1
+    for number in range(CRASHES_TO_STOP):
+        clock.at += COMMON_CAUSE_SECONDS + 0.1
         end_late(quarantine, ASKED, b"beside it %d" % number, count=1, first=number)
-    assert quarantine.holds(call(ASKED))
+    assert quarantine.is_stopped(call(ASKED))
 
 
 def test_one_that_was_answered_now_and_then_is_stopped_as_one_never_answered(clock: Clock) -> None:
     quarantine = make()
     answer_often(quarantine, clock, PROVEN_ANSWERS - 1)
     end_late(quarantine, ASKED, DEADLY)
-    assert quarantine.holds(call(ASKED))
+    assert quarantine.is_stopped(call(ASKED))
 
 
 def test_answers_of_long_ago_prove_nothing(clock: Clock) -> None:
@@ -153,19 +153,19 @@
     answer_often(quarantine, clock)
     clock.at += PROVEN_SECONDS + 1.0
     end_late(quarantine, ASKED, DEADLY)
-    assert quarantine.holds(call(ASKED))
+    assert quarantine.is_stopped(call(ASKED))
 
 
 def test_a_wrong_stop_in_the_store_is_lifted_by_who_knows_better(clock: Clock) -> None:
     store, early, knowing = Rows(), make(), make()
     end_late(early, ASKED, DEADLY)
-    assert early.holds(call(ASKED))
-    clock.at += WORD_SECONDS
+    assert early.is_stopped(call(ASKED))
+    clock.at += ANSWER_GRACE_SECONDS
     written(early, store)
     answer_often(knowing, clock)
-    knowing.take_stored(stops.read_stops(stop_rows(store)), True)
-    assert knowing.holds(call(DEADLY))
-    assert not knowing.holds(call(ASKED))
+    knowing.merge_stored(stops.read_stops(stop_rows(store)), True)
+    assert knowing.is_stopped(call(DEADLY))
+    assert not knowing.is_stopped(call(ASKED))
     assert knowing.take_lifts() == [fingerprint_of(call(ASKED), KEY)]
 
 
@@ -192,17 +192,17 @@
             def tell_proven(names: list[Fingerprint], me: Quarantine = daemon) -> None:
                 late.extend((other, "proven", [names]) for other in daemons if other is not me)
 
-            daemon.on_news, daemon.on_proven = tell, tell_proven
+            daemon.on_update, daemon.on_proven = tell, tell_proven
         answer_often(daemons[answering], clock, PROVEN_ANSWERS)
         for what, number in moments:
             clock.at += 0.3
             if what == "answers":
                 # Not where it is held back for the moment.
-                if not daemons[answering].holds(call(ASKED)):
-                    daemons[answering].answered(call(ASKED))
+                if not daemons[answering].is_stopped(call(ASKED)):
+                    daemons[answering].note_answered(call(ASKED))
             else:
-                daemons[begun_at[number]].broke_off(call(ASKED), start(number), None)
-                daemons[begun_at[number - 1]].broke_off(call(DEADLY), start(number), None)
+                daemons[begun_at[number]].note_interrupted(call(ASKED), start(number), None)
+                daemons[begun_at[number - 1]].note_interrupted(call(DEADLY), start(number), None)
                 for daemon in daemons:
                     daemon.server_ended(start(number))
             while late and rng.random() < 0.5:
@@ -210,20 +210,20 @@
         while late:
             deliver(late, rng)
         for daemon in daemons:
-            assert daemon.holds(call(DEADLY))
-            assert not daemon.holds(call(ASKED))
+            assert daemon.is_stopped(call(DEADLY))
+            assert not daemon.is_stopped(call(ASKED))
 
 
 def deliver(late: list[tuple[Quarantine, str, list[Any]]], rng: random.Random) -> None:
     """Have one word arrive, and what is new in it go on to the others."""
     to, kind, words = late.pop(rng.randrange(len(late)))
     if kind == "proven":
-        if fresh := to.hear_proven(*words):
+        if fresh := to.merge_proven(*words):
             to.on_proven(fresh)
         return
-    crashes, cleared = to.hear(*words)
+    crashes, cleared = to.merge_crashes(*words)
     if crashes or cleared:
-        to.on_news(crashes, cleared)
+        to.on_update(crashes, cleared)
 
 
 def answered_call(number: int, size: int = 1) -> Call:
@@ -236,11 +236,11 @@
         answers.note(answered_call(number), float(number))
     assert len(answers.answered) == MAX_ANSWERS
     answers.proven(fingerprint_of(answered_call(0), KEY), KEY, 0.0)
-    assert len(answers.named) == MAX_ANSWERS
+    assert len(answers.by_fingerprint) == MAX_ANSWERS
     for number in range(8):
-        answers.note(answered_call(number, MAX_BYTES // 4), 1e4 + number)
-    assert answers.size <= MAX_BYTES
-    assert len(answers.named) + len(answers.unnamed) == len(answers.answered)
+        answers.note(answered_call(number, MAX_BODY_BYTES // 4), 1e4 + number)
+    assert answers.body_bytes <= MAX_BODY_BYTES
+    assert len(answers.by_fingerprint) + len(answers.not_fingerprinted) == len(answers.answered)
 
 
 def test_names_follow_the_key() -> None:
@@ -248,6 +248,6 @@
     for at in range(PROVEN_ANSWERS):
         answers.note(call(), float(at))
     assert answers.proven(fingerprint_of(call(), KEY), KEY, 10.0)
-    answers.rename()
+    answers.forget_fingerprints()
     assert answers.proven(fingerprint_of(call(), b"another"), b"another", 10.0)
     assert not answers.proven(fingerprint_of(call(), KEY), b"another", 10.0)
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -25,10 +25,10 @@
 from bayglade.entries import membership as membership_module
 from bayglade.entries.membership import Member, Membership
 from bayglade.entries.wire import Crash, Findings
-from bayglade.evidence import MOST_ENDS
+from bayglade.evidence import CRASHES_TO_STOP
 from bayglade.fingerprints import fingerprint_of
 from bayglade.ids import MemberId
-from bayglade.quarantine import MAX_SUSPECTS, MAX_TOLD, UNSURE_SECONDS, Quarantine
+from bayglade.quarantine import MAX_SHARED_ON_JOIN, MAX_SUSPECTS, UNCONFIRMED_SECONDS, Quarantine
 from tests.test_quarantine import KEY, Clock, call, end_under, make, start
 
 
@@ -42,62 +42,62 @@
 def breaks_of(quarantine: Quarantine, numbers: range) -> list[Crash]:
     """Break a question off on some servers; return what the daemon tells of it."""
     told: list[Crash] = []
-    quarantine.on_break = told.append
+    quarantine.on_interrupted = told.append
     for number in numbers:
-        quarantine.broke_off(call(), start(number), None)
+        quarantine.note_interrupted(call(), start(number), None)
     return told
 
 
 def test_what_broke_off_at_a_daemon_that_ended_counts_once_the_ends_are_sure(clock: Clock) -> None:
     gone, left = make(), make()
-    assert left.hear_breaks(breaks_of(gone, range(MOST_ENDS)))
+    assert left.merge_interruptions(breaks_of(gone, range(CRASHES_TO_STOP)))
     clock.at += 3.0
-    for number in range(MOST_ENDS):
-        assert not left.holds(call())
+    for number in range(CRASHES_TO_STOP):
+        assert not left.is_stopped(call())
         left.server_ended(start(number))
-    assert left.holds(call())
+    assert left.is_stopped(call())
 
 
 def test_what_broke_off_counts_when_the_end_was_known_before(clock: Clock) -> None:
     sender, knowing = make(), make()
-    for number in range(MOST_ENDS):
+    for number in range(CRASHES_TO_STOP):
         knowing.server_ended(start(number))
-    knowing.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
-    assert knowing.holds(call())
+    knowing.merge_interruptions(breaks_of(sender, range(CRASHES_TO_STOP)))
+    assert knowing.is_stopped(call())
 
 
 def test_a_break_alone_counts_for_nothing(clock: Clock) -> None:
     sender, other = make(), make()
-    other.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
-    assert not other.holds(call())
+    other.merge_interruptions(breaks_of(sender, range(CRASHES_TO_STOP)))
+    assert not other.is_stopped(call())
     clock.at += 0.1
-    for number in range(MOST_ENDS):
-        other.server_lives(start(number), clock.at)
+    for number in range(CRASHES_TO_STOP):
+        other.server_alive(start(number), clock.at)
         other.server_ended(start(number))
-    assert not other.holds(call())
+    assert not other.is_stopped(call())
 
 
 def test_an_answer_after_the_break_clears_what_others_told(clock: Clock) -> None:
     sender, other = make(), make()
-    other.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
+    other.merge_interruptions(breaks_of(sender, range(CRASHES_TO_STOP)))
     clock.at += 0.1
-    other.answered(call())
-    for number in range(MOST_ENDS):
+    other.note_answered(call())
+    for number in range(CRASHES_TO_STOP):
         other.server_ended(start(number))
-    assert not other.holds(call())
+    assert not other.is_stopped(call())
 
 
 def test_breaks_are_forgotten_in_time(clock: Clock) -> None:
     sender, other = make(), make()
-    told = breaks_of(sender, range(MOST_ENDS))
-    other.hear_breaks(told)
-    clock.at += UNSURE_SECONDS + 0.1
+    told = breaks_of(sender, range(CRASHES_TO_STOP))
+    other.merge_interruptions(told)
+    clock.at += UNCONFIRMED_SECONDS + 0.1
     other.tidy()
-    for number in range(MOST_ENDS):
+    for number in range(CRASHES_TO_STOP):
         other.server_ended(start(number))
-    assert not other.holds(call())
-    assert not other.told
-    assert not other.heard
+    assert not other.is_stopped(call())
+    assert not other.remote_unconfirmed
+    assert not other.seen_interruptions
 
 
 def test_words_of_breaks_die_out_whatever_comes_between(clock: Clock) -> None:
@@ -109,40 +109,40 @@
         to, breaks = waiting.pop(rng.randrange(len(waiting)))
         delivered += 1
         assert delivered < 2 * len(daemons) ** 2
-        if fresh := to.hear_breaks(breaks):
+        if fresh := to.merge_interruptions(breaks):
             waiting += [(other, fresh) for other in daemons if other is not to]
         # A contrary word comes at the same time: the server lives.
-        to.server_lives(start(0), clock.at + 1.0)
+        to.server_alive(start(0), clock.at + 1.0)
 
 
 def test_word_of_breaks_is_bounded(clock: Clock) -> None:
     quarantine = make()
     for number in range(MAX_SUSPECTS + 10):
         name = fingerprint_of(call(b"%d" % number), KEY)
-        quarantine.hear_breaks([Crash(name, *start(1))])
-    assert len(quarantine.heard) == MAX_SUSPECTS
-    old = Crash(fingerprint_of(call(), KEY), *start(2), UNSURE_SECONDS + 0.1)
-    assert make().hear_breaks([old]) == []
+        quarantine.merge_interruptions([Crash(name, *start(1))])
+    assert len(quarantine.seen_interruptions) == MAX_SUSPECTS
+    old = Crash(fingerprint_of(call(), KEY), *start(2), UNCONFIRMED_SECONDS + 0.1)
+    assert make().merge_interruptions([old]) == []
 
 
 def test_a_daemon_that_joins_is_told_what_is_held_back_and_what_is_proven(clock: Clock) -> None:
     here, new = make(), make()
-    end_under(here, call(), range(MOST_ENDS))
-    here.hear_proven([fingerprint_of(call(b"asked by all"), KEY)])
-    end_under(here, call(b"asked by all"), range(MOST_ENDS))
-    crashes, proven = here.known()
-    new.hear_proven(proven)
-    new.hear(crashes, [])
-    assert new.holds(call())
-    assert not new.holds(call(b"asked by all"))
+    end_under(here, call(), range(CRASHES_TO_STOP))
+    here.merge_proven([fingerprint_of(call(b"asked by all"), KEY)])
+    end_under(here, call(b"asked by all"), range(CRASHES_TO_STOP))
+    crashes, proven = here.snapshot()
+    new.merge_proven(proven)
+    new.merge_crashes(crashes, [])
+    assert new.is_stopped(call())
+    assert not new.is_stopped(call(b"asked by all"))
 
 
 def test_what_a_daemon_is_told_that_joins_is_bounded(clock: Clock) -> None:
     here = make()
-    for number in range(2 * MAX_TOLD):
+    for number in range(2 * MAX_SHARED_ON_JOIN):
         end_under(here, call(b"%d" % number), range(number, number + 1))
-    crashes, _ = here.known()
-    assert len(crashes) == MAX_TOLD
+    crashes, _ = here.snapshot()
+    assert len(crashes) == MAX_SHARED_ON_JOIN
 
 
 def test_a_new_stream_to_a_daemon_begins_with_what_it_has_to_know(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -163,17 +163,17 @@
 def test_an_answer_at_the_daemon_that_told_of_a_break_clears_it_everywhere(clock: Clock) -> None:
     sender, other, third = make(), make(), make()
     told: list[Any] = []
-    sender.on_news = lambda crashes, cleared: told.append((crashes, cleared))
-    fresh = other.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
-    third.hear_breaks(fresh)
+    sender.on_update = lambda crashes, cleared: told.append((crashes, cleared))
+    fresh = other.merge_interruptions(breaks_of(sender, range(CRASHES_TO_STOP)))
+    third.merge_interruptions(fresh)
     clock.at += 0.1
-    sender.answered(call())
-    passed_on = other.hear(*told[0])
-    third.hear(*passed_on)
+    sender.note_answered(call())
+    passed_on = other.merge_crashes(*told[0])
+    third.merge_crashes(*passed_on)
     for daemon in (sender, other, third):
-        for number in range(MOST_ENDS):
+        for number in range(CRASHES_TO_STOP):
             daemon.server_ended(start(number))
-        assert not daemon.holds(call())
+        assert not daemon.is_stopped(call())
     # It is told once.
-    sender.answered(call())
+    sender.note_answered(call())
     assert len(told) == 1
--- a/tests/test_staying_streams.py
+++ b/tests/test_staying_streams.py
@@ -75,7 +75,7 @@
 def test_it_ends_when_its_request_is_stopped(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     end(scene, scene.paired_stage())
     look_into(scene)
-    monkeypatch.setattr(scene.peers.quarantine, "holds", lambda call: True)
+    monkeypatch.setattr(scene.peers.quarantine, "is_stopped", lambda call: True)
     scene.at += STAY_SECONDS
     with pytest.raises(BackendError):
         look_into(scene)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -343,7 +343,7 @@
         assert looks < 50
         return frozenset({stages[-1].facts.id})
 
-    monkeypatch.setattr(streams, "ended_stages", ended)
+    monkeypatch.setattr(streams, "refusing_stages", ended)
     scene.call.seconds_left, scene.call.deadline, scene.call.arrived = lambda: 10.0, 1000.0, scene.at
     scene.peers.wait_queues = SimpleNamespace(
         charge=lambda call: None,
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -13,7 +13,7 @@
 from bayglade.fleet import Fleet
 from bayglade.quarantine import TRIAL_SECONDS, Quarantine
 from bayglade.servers import Server
-from bayglade.trials import ENDED_SECONDS, ended_stages, heads_to_avoid, wait_apart
+from bayglade.trials import PROBE_SECONDS, heads_to_avoid, refusing_stages, wait_for_isolated
 from tests.test_quarantine import call, start
 from tests.test_tiling import SERVICE, pipeline, placed, servers
 from tests.virtual_time import now, run_virtually
@@ -39,7 +39,7 @@
 
     def suspect(self, body: bytes) -> Any:
         asked = call(body, service=SERVICE, deadline=now() + 20.0)
-        self.quarantine.broke_off(asked, start(1), None)
+        self.quarantine.note_interrupted(asked, start(1), None)
         return asked
 
     def choose(self, asked: Any) -> Server | None:
@@ -47,7 +47,7 @@
         left = [head for head in self.heads if head.facts.id not in others]
         if len(left) != 1:
             return None
-        self.quarantine.sent(asked, left[0].facts.id)
+        self.quarantine.note_sent(asked, left[0].facts.id)
         return left[0]
 
 
@@ -86,9 +86,9 @@
     def waited() -> tuple[float, int]:
         daemon = Daemon()
         for number, head in enumerate(daemon.heads):
-            daemon.quarantine.sent(daemon.suspect(b"%d" % number), head.facts.id)
+            daemon.quarantine.note_sent(daemon.suspect(b"%d" % number), head.facts.id)
         since = now()
-        apart = wait_apart(daemon.peers, daemon.suspect(b"late"), daemon.heads)
+        apart = wait_for_isolated(daemon.peers, daemon.suspect(b"late"), daemon.heads)
         return now() - since, len(apart)
 
     seconds, apart = run_virtually(waited)
@@ -99,7 +99,7 @@
 def test_without_servers_it_does_not_wait() -> None:
     def waited() -> float:
         daemon, since = Daemon(), now()
-        assert wait_apart(daemon.peers, daemon.suspect(b"x"), []) == []
+        assert wait_for_isolated(daemon.peers, daemon.suspect(b"x"), []) == []
         return now() - since
 
     assert run_virtually(waited) == 0.0
@@ -132,7 +132,7 @@
         daemon = Daemon()
         asked = call(service=SERVICE, deadline=now() + 20.0)
         for number in range(ends):
-            daemon.quarantine.broke_off(asked, start(number), None)
+            daemon.quarantine.note_interrupted(asked, start(number), None)
             daemon.quarantine.server_ended(start(number))
         path = [server for server in daemon.fleet.of(SERVICE) if server.facts.held][:4]
         probes = Probes(daemon, {path[2].facts.id}, {path[3].facts.id})
@@ -140,11 +140,11 @@
         examined: list[Server] = []
         daemon.peers.diagnosis = SimpleNamespace(examine_anew=examined.extend)
         since = now()
-        gone = ended_stages(daemon.peers, asked, path)
+        gone = refusing_stages(daemon.peers, asked, path)
         seconds = now() - since
         # What ended before counts no more when the call is sent now and breaks off there.
-        daemon.quarantine.broke_off(asked, path[2].facts.key, None, now() + 0.001)
-        assert not daemon.quarantine.holds(asked)
+        daemon.quarantine.note_interrupted(asked, path[2].facts.key, None, now() + 0.001)
+        assert not daemon.quarantine.is_stopped(asked)
         assert gone == ({path[2].facts.id} if looked else frozenset())
         eventlet.sleep(0)
         assert examined == (path[2:3] if looked else [])
@@ -152,4 +152,4 @@
 
     _, opened, seconds = run_virtually(found)
     assert opened == (4 if looked else 0)
-    assert seconds <= (ENDED_SECONDS + 0.01 if looked else 0.0)
+    assert seconds <= (PROBE_SECONDS + 0.01 if looked else 0.0)
--- a/tests/test_wholes.py
+++ b/tests/test_wholes.py
@@ -42,7 +42,7 @@
             fleet=self.fleet,
             rng=self.rng,
             paths=SimpleNamespace(hall=HallName("hall")),
-            quarantine=SimpleNamespace(suspects=lambda call: False),
+            quarantine=SimpleNamespace(is_suspect=lambda call: False),
         )
         self.call: Any = SimpleNamespace(service=SERVICE, head=SimpleNamespace(id="r"))
 
