--- a/bayglade/answers.py
+++ b/bayglade/answers.py
@@ -1,8 +1,7 @@
-"""Answers: which requests were answered lately, by what they ask.
+"""Counts of recent answers by request content.
 
-What is answered again and again ends no server by itself. While no server ends, all that
-is worked out of a request is whether the same one was answered before; names follow when
-they are content for.
+A request that is answered again and again doesn't crash servers by itself. While no server crashes, the
+only work per answer is a lookup by content; fingerprints are computed when they are first needed.
 """
 
 from collections import OrderedDict
@@ -12,16 +11,16 @@
 from bayglade.ids import Fingerprint
 
 PROVEN_ANSWERS = 5
-"""Answers after which a request is taken for one that ends no server by itself."""
+"""Answers after which a request is taken not to crash servers by itself."""
 PROVEN_SECONDS = 600.0
-"""For how long that holds after its last answer: as long as ends count."""
+"""How long that holds after the last answer: as long as crashes count."""
 MAX_ANSWERS = 512
 MAX_BODY_BYTES = 4_000_000
-"""Size of all bodies that are kept, from which names are worked out."""
+"""Maximum total size of the bodies kept to compute fingerprints from."""
 
 
 class AnswerCount:
-    """How often one request was answered, and when it was last, in monotonic seconds."""
+    """How often one request was answered, and when it was answered last, in monotonic seconds."""
 
     __slots__ = ("answered_at", "count", "fingerprint")
 
@@ -29,21 +28,21 @@
         self.count = 0
         self.answered_at = float("-inf")
         self.fingerprint: Fingerprint | None = None
-        """Worked out when it is first needed."""
+        """Computed when it is first needed."""
 
     def __repr__(self) -> str:
         return f"<Answered {self.count} times>"
 
 
 class Answers:
-    """The requests that one daemon saw answered lately, bounded in number and size."""
+    """The requests that one daemon saw answered recently, bounded in number and size."""
 
     def __init__(self) -> None:
         self.answered: OrderedDict[RequestContent, AnswerCount] = OrderedDict()
-        """The one answered last at the end."""
+        """By content, the one answered last at the end."""
 
         self.body_bytes = 0
-        """Bytes of all bodies."""
+        """Total size of the bodies kept."""
 
         self.by_fingerprint: dict[Fingerprint, AnswerCount] = {}
         self.not_fingerprinted: dict[RequestContent, AnswerCount] = {}
@@ -52,10 +51,10 @@
         return f"<Answers to {len(self.answered)} requests>"
 
     def note(self, call: Call, at: float) -> None:
-        """Note a whole answer.
+        """Record a complete answer.
 
         :param call: the request.
-        :param at: now, in monotonic seconds.
+        :param at: the time now, in monotonic seconds.
         """
         content = request_content(call)
         entry = self.answered.get(content)
@@ -71,7 +70,7 @@
             self._forget_oldest()
 
     def last_answered_at(self, fingerprint: Fingerprint, key: bytes) -> float:
-        """Return when a request was answered last; long ago when that is not known.
+        """Return when a request was last answered; minus infinity if that isn't known.
 
         :param fingerprint: the request.
         :param key: key of fingerprints.
@@ -80,11 +79,11 @@
         return entry.answered_at if entry is not None else float("-inf")
 
     def proven(self, fingerprint: Fingerprint, key: bytes, at: float) -> bool:
-        """Tell whether a request was answered many times lately.
+        """Tell whether a request was answered many times recently.
 
         :param fingerprint: the request.
         :param key: key of fingerprints.
-        :param at: now, in monotonic seconds.
+        :param at: the time now, in monotonic seconds.
         """
         entry = self._find(fingerprint, key)
         if entry is None or at - entry.answered_at > PROVEN_SECONDS:
@@ -92,13 +91,13 @@
         return entry.count >= PROVEN_ANSWERS
 
     def forget_fingerprints(self) -> None:
-        """Forget the names, as the key of fingerprints has changed."""
+        """Drop all fingerprints, as their key has changed."""
         self.by_fingerprint = {}
         self.not_fingerprinted = dict(self.answered)
 
     def _find(self, fingerprint: Fingerprint, key: bytes) -> AnswerCount | None:
-        unnamed, self.not_fingerprinted = self.not_fingerprinted, {}
-        for content, entry in unnamed.items():
+        pending, self.not_fingerprinted = self.not_fingerprinted, {}
+        for content, entry in pending.items():
             entry.fingerprint = fingerprint_of_content(content, key)
             self.by_fingerprint[entry.fingerprint] = entry
         return self.by_fingerprint.get(fingerprint)
--- a/bayglade/fingerprints.py
+++ b/bayglade/fingerprints.py
@@ -1,4 +1,4 @@
-"""Fingerprints: name a request by what it asks, as it may come again under another id."""
+"""Fingerprints: identify a request by its content, as clients may retry it under another id."""
 
 import hashlib
 from typing import NamedTuple
@@ -7,12 +7,13 @@
 from bayglade.ids import Fingerprint, GroupPath
 
 DIGEST_BYTES = 8
-"""Collisions among the thousands of fingerprints that are kept are out of the question."""
+"""Long enough to make collisions among the thousands of fingerprints kept at a time negligible."""
 LENGTH_BYTES = 4
 
 
 class RequestContent(NamedTuple):
-    """What a request asks: all but its id, its deadline and the event that a stream goes on after."""
+    """The content of a request: all but its id, its deadline and the event after which a stream
+    resumes."""
 
     group: GroupPath | None
     method: str
@@ -22,12 +23,12 @@
 
 
 def request_content(call: Call) -> RequestContent:
-    """Return what a request asks."""
+    """Return the content of a request."""
     return RequestContent(call.group, call.method, call.head.host.lower(), call.target, call.body)
 
 
 def fingerprint_of(call: Call, secret: bytes) -> Fingerprint:
-    """Name a request by its client account, method, host, path and body.
+    """Return the fingerprint of a request: a digest of its client account, method, host, path and body.
 
     :param call: the request.
     :param secret: key of the digest, the same for all daemons of a site.
@@ -36,11 +37,11 @@
 
 
 def fingerprint_of_content(content: RequestContent, secret: bytes) -> Fingerprint:
-    """Name what a request asks.
+    """Return the fingerprint of a request's content.
 
-    The digest is keyed, so that a log line or a row tells nothing of what a caller sent.
+    The digest is keyed, so that a log line or a stored row reveals nothing of what a client sent.
 
-    :param content: what it asks.
+    :param content: the request's content.
     :param secret: key of the digest, the same for all daemons of a site.
     """
     digest = hashlib.blake2b(key=secret, digest_size=DIGEST_BYTES)
@@ -52,5 +53,5 @@
 
 
 def derive_key(secret: bytes) -> bytes:
-    """Derive the key of fingerprints from the secret that the daemons of a site share."""
+    """Derive the key of fingerprints from the secret shared by the daemons of a site."""
     return hashlib.blake2b(secret, person=b"fingerprints", digest_size=32).digest()
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -13,7 +13,7 @@
 from bayglade.entries.wire import Borrow, Lent
 from bayglade.fanout import Push
 from bayglade.ids import MemberId
-from bayglade.questions import PendingReplies
+from bayglade.pending_replies import PendingReplies
 from bayglade.retries import RetryBudget
 
 POOLED_PART = 0.7
--- a/bayglade/questions.py
+++ b/bayglade/pending_replies.py
@@ -1,4 +1,4 @@
-"""Questions to other daemons that are answered at once or not at all."""
+"""Requests to other daemons that wait for a reply, matched by number."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -10,21 +10,21 @@
 
 
 class PendingReplies(Generic[T]):
-    """The questions of one kind that this daemon waits for answers to."""
+    """Requests of one kind that this daemon has sent to others and that wait for a reply."""
 
     def __init__(self) -> None:
         self.last_number = 0
         self.waiting: dict[int, Event] = {}
 
     def __repr__(self) -> str:
-        return f"<Questions {len(self.waiting)} waiting>"
+        return f"<PendingReplies {len(self.waiting)} waiting>"
 
     def request(self, send: Callable[[int], None], seconds: float) -> T | None:
-        """Ask, and wait for the answer.
+        """Send a request and wait for its reply.
 
-        :param send: sends the question with the number that its answer will bear.
+        :param send: sends the request under the given number, which the reply repeats.
         :param seconds: how long to wait.
-        :return: the answer; nothing when none came in time.
+        :return: the reply; None if none arrived in time.
         """
         self.last_number += 1
         number = self.last_number
@@ -32,14 +32,14 @@
         send(number)
         try:
             with eventlet.Timeout(seconds, False):
-                answer: T = event.wait()
-                return answer
+                reply: T = event.wait()
+                return reply
             return None
         finally:
             self.waiting.pop(number, None)
 
-    def resolve(self, number: int, answer: T) -> None:
-        """Hand an answer to whoever waits for it; a late one is lost."""
+    def resolve(self, number: int, reply: T) -> None:
+        """Deliver a reply to the waiting caller; a late one is dropped."""
         event = self.waiting.pop(number, None)
         if event is not None:
-            event.send(answer)
+            event.send(reply)
--- a/bayglade/quarantine.py
+++ b/bayglade/quarantine.py
@@ -1,11 +1,11 @@
-"""Quarantine: requests under which backend servers ended, each time that they were run.
-
-Such a request takes a server with all that runs there for seconds, and comes again
-under another id, at any daemon. So ends are counted by what was asked (see
-:mod:`bayglade.fingerprints`) and by server_key of a server, over all daemons: the set of
-(request, server_key) only grows, daemons tell each other of what is new in it, and may
-merge it in any order. A request is stopped once enough starts have ended under it.
-What is stopped also lies in the platform's store, for daemons that server_key anew.
+"""Quarantine of requests that crash backend servers.
+
+A request that crashes a server takes down everything else running there for seconds, and clients retry
+it under a new id, at any daemon. Crashes are therefore counted by request content (see
+:mod:`bayglade.fingerprints`) and by server incarnation, over all daemons. The set of (fingerprint,
+    incarnation) pairs only grows; daemons exchange additions and may merge them in any order. A request
+    is stopped once enough incarnations have crashed while running it. Stops are also stored in the
+    platform's store, so that daemons that start later know them.
 """
 
 import random
@@ -26,92 +26,99 @@
 from bayglade.retries import spread_retry_after
 
 SUSPECT_RUN_SECONDS = 1.0
-"""A request whose first event is older when its server ends did not end it: those that do end servers
-soon after these begin to run them."""
+"""A request whose first event is older than this when its server crashes is no suspect: requests that
+crash servers do so soon after they start to run."""
 RESEND_DELAY_SECONDS = 0.15
-"""How long a request waits under which two servers have ended before it is sent once more, for word of
-what else was under way there and of a third end."""
+"""Delay before a request that has crashed two servers is sent again. It leaves time for reports of the
+other requests that had just begun on those servers, and of a third crash."""
 TRIAL_SECONDS = 0.4
-"""How long another suspect is kept away from a server to which one was sent: longer than servers last
-under requests that end them, shorter than callers wait."""
+"""How long other suspects are kept off a server to which a suspect was sent: longer than a server
+survives a request that crashes it, and shorter than clients wait."""
 UNCONFIRMED_SECONDS = 6.0
-"""How long a request whose server broke off waits for word that the server has ended: the entry of one
-that fell silent is gone after three of its heartbeats, 3.6 s on the users' platform."""
+"""How long an interruption counts as a possible crash while the crash isn't confirmed. The entry of a
+server that falls silent is removed after three missed heartbeats, 3.6 s on the users' platform."""
 MASS_CRASH_COUNT = 3
-"""So many other servers that ended at about the same time have a cause of their own."""
+"""This many other servers that crash at about the same time indicate a cause other than the request."""
 ANSWER_GRACE_SECONDS = 0.5
-"""How long a stop waits for word that its request was answered before it goes to the store."""
+"""Delay before a stop is written to the store, in which a report that the request was answered cancels
+it."""
 WRITE_SPREAD_SECONDS = 2.0
-"""Within this time a daemon that was told of the last end writes a stop that nobody else has written."""
+"""A daemon that learns of the deciding crash from another one writes the stop after a random delay of
+up to this, unless another daemon has written it by then."""
 LIFTED_SECONDS = 60.0
-"""How long a stop that was lifted is remembered: longer than a copy of the store is old."""
+"""How long a lifted stop is remembered: longer than the age that a restored copy of the store may have."""
 MAX_SUSPECTS = 4096
-"""Requests that are remembered: each end of a server adds those that had just begun there."""
+"""Maximum number of requests with evidence: each crash adds all requests that had just begun there."""
 MAX_SHARED_ON_JOIN = 64
-"""Of them, how many a daemon that joins is told of."""
+"""Maximum number of these requests that are reported to a daemon that joins."""
 MAX_LOGS_PER_SECOND = 5.0
-"""Refusals that are logged: callers may repeat a stopped request at will."""
+"""Maximum rate of logged refusals: clients may repeat a stopped request at any rate."""
 
 
 class Trial(msgspec.Struct, frozen=True):
-    """A suspect that has just been sent to a server."""
+    """The last suspect sent to a server; others stay off that server until it has expired."""
 
     suspect: Fingerprint
     until: float
 
 
 class CrashTimes(msgspec.Struct, frozen=True):
-    """When this daemon had word that a server_key of a server has ended, in monotonic seconds."""
+    """When this daemon first and last learned that a server incarnation has ended, in monotonic
+    seconds."""
 
     first_at: float
     last_at: float
 
 
 class Quarantine:
-    """The requests that one daemon holds back, and what it knows of others.
+    """The requests that one daemon has stopped, and the evidence against others.
 
-    :param key: key of fingerprints; the same for all daemons once they have joined.
-    :param rng: source of chance.
+    :param key: key of fingerprints; all daemons use the same one once they have joined.
+    :param rng: source of randomness.
     """
 
     def __init__(self, key: bytes, rng: random.Random) -> None:
         self.key = key
         self.rng = rng
         self.evidence: OrderedDict[Fingerprint, Evidence] = OrderedDict()
-        """By request, the one heard of last at the end."""
+        """By fingerprint, ordered by last update."""
 
         self.unconfirmed: dict[ServerKey, dict[Fingerprint, float]] = {}
-        """Requests that broke off on a server which may have ended, and since when."""
+        """By server incarnation: requests that this daemon sent and that were interrupted there, with
+        the time. It isn't known yet whether the server crashed."""
 
         self.remote_unconfirmed: dict[ServerKey, dict[Fingerprint, float]] = {}
-        """The same of requests that other daemons sent: they may be gone when word of the end comes."""
+        """The same for requests that other daemons sent. These daemons may be gone when the crash is
+        confirmed."""
 
         self.seen_interruptions: dict[tuple[Fingerprint, ServerKey], float] = {}
-        """Which breaks other daemons told of, and when: each is passed on once."""
+        """When each interruption reported by another daemon was first seen; each is forwarded once."""
 
         self.recent_crashes: dict[ServerKey, CrashTimes] = {}
-        """Starts of servers that ended lately."""
+        """Server incarnations that ended recently."""
 
         self.answers = Answers()
-        """Those that many ask alike are answered again and again, and are under many ends."""
+        """Requests answered recently. One that many clients send is answered again and again, and is
+        running during many crashes that it didn't cause."""
 
         self.pending_lifts: set[Fingerprint] = set()
-        """Stops in the store that this daemon knows to be wrong."""
+        """Stops in the store that this daemon knows to be wrong and is going to remove."""
 
         self.recently_lifted: dict[Fingerprint, float] = {}
-        """Stops whose rows were removed lately, and when: a restored store may have them again."""
+        """When stops were removed from the store: a restored store may contain them again."""
 
         self.trials: dict[BackendId, Trial] = {}
-        """The suspect that was sent last to each server."""
+        """By server, the last suspect sent to it."""
 
         self.on_update: Callable[[list[Crash], list[Fingerprint]], None] = lambda crashes, cleared: None
-        """Told what other daemons do not know: ends, and requests that were answered."""
+        """Called with what other daemons don't know yet: new crashes, and requests cleared by an
+        answer."""
 
         self.on_interrupted: Callable[[Crash], None] = lambda crash: None
-        """Told of requests that broke off on servers which may have ended."""
+        """Called for each request that was interrupted by a server which may have crashed."""
 
         self.on_proven: Callable[[list[Fingerprint]], None] = lambda fingerprints: None
-        """Told of requests under which servers end though they were answered many times before."""
+        """Called with requests that are under suspicion although they were answered many times before."""
 
         self.log_refusal = limited(MAX_LOGS_PER_SECOND)
 
@@ -119,7 +126,7 @@
         return f"<Quarantine {len(self.stopped())} stopped of {len(self.evidence)}>"
 
     def use_key(self, key: bytes) -> None:
-        """Name requests as the other daemons do; what was named otherwise is forgotten."""
+        """Replace the key of fingerprints, and drop everything recorded under the previous key."""
         if key == self.key:
             return
         self.key = key
@@ -134,13 +141,13 @@
             known.clear()
 
     def fingerprint_for(self, call: Call) -> Fingerprint:
-        """Return the fingerprint of a call, which is worked out once."""
+        """Return the fingerprint of a call; it is computed once per call."""
         if call.fingerprint is None:
             call.fingerprint = fingerprint_of(call, self.key)
         return call.fingerprint
 
     def stopped(self) -> list[tuple[Fingerprint, Evidence]]:
-        """List the requests that are held back."""
+        """List the requests that are stopped, with the evidence against them."""
         return [(fingerprint, e) for fingerprint, e in self.evidence.items() if e.stopped_at is not None]
 
     def is_stopped(self, call: Call) -> bool:
@@ -151,7 +158,7 @@
     def check(self, call: Call) -> None:
         """Refuse a call that must not be sent.
 
-        :raises RequestStopped: when servers ended each time that it was run.
+        :raises RequestStopped: if too many servers crashed while running this request.
         """
         evidence = self._evidence_for(call)
         if evidence is None or evidence.stopped_at is None:
@@ -166,14 +173,14 @@
         )
 
     def is_suspect(self, call: Call) -> bool:
-        """Tell whether a server ended, or may have, when it had just begun to run a call."""
+        """Tell whether a server crashed, or may have crashed, shortly after it started to run a call."""
         evidence = self._evidence_for(call)
         return (evidence is not None and len(evidence.crashed_on) > 0) or len(
             self.unconfirmed_servers(call)
         ) > 0
 
     def unconfirmed_servers(self, call: Call) -> list[ServerKey]:
-        """List the starts of servers that broke a call off, of which it is not known whether they ended."""
+        """List the server incarnations that interrupted a call and may have crashed."""
         if not self.unconfirmed:
             return []
         fingerprint = self.fingerprint_for(call)
@@ -184,32 +191,33 @@
         ]
 
     def servers_on_trial(self, call: Call) -> frozenset[BackendId]:
-        """Return the servers to which other suspects than a call were sent just now."""
+        """Return the servers to which a suspect other than this call was sent within the trial period."""
         at, fingerprint = now(), self.fingerprint_for(call)
         return frozenset(b for b, t in self.trials.items() if t.until > at and t.suspect != fingerprint)
 
     def note_sent(self, call: Call, backend: BackendId) -> None:
-        """Note that a call is sent to a server: a suspect is on trial there."""
+        """Record that a call is sent to a server; a suspect starts a trial there."""
         if (self.evidence or self.unconfirmed) and self.is_suspect(call):
             self.trials[backend] = Trial(self.fingerprint_for(call), now() + TRIAL_SECONDS)
 
     def resend_delay(self, call: Call) -> float:
-        """Return how long to wait before a call is sent once more, for word of its servers' ends."""
+        """Return how long to wait for crash reports before a call is sent again."""
         evidence = self._evidence_for(call)
-        ends = len(evidence.crashed_on) if evidence is not None else 0
-        ends += len(self.unconfirmed_servers(call))
-        return RESEND_DELAY_SECONDS if ends >= CRASHES_TO_STOP - 1 else 0.0
+        crashes = len(evidence.crashed_on) if evidence is not None else 0
+        crashes += len(self.unconfirmed_servers(call))
+        return RESEND_DELAY_SECONDS if crashes >= CRASHES_TO_STOP - 1 else 0.0
 
     def note_interrupted(
         self, call: Call, server_key: ServerKey, begun_at: float | None, sent_at: float = float("-inf")
     ) -> None:
-        """Note that a server broke a call off, and may have ended.
+        """Record that a server, which may have crashed, interrupted a call.
 
         :param call: the call.
-        :param server_key: the server_key of the server.
-        :param begun_at: when the first event of this run came, if one came.
-        :param sent_at: when the call was sent to the server. One known to have ended before did not end
-            under it; where many end at once, harmless streams would be held back for such ends.
+        :param server_key: the server incarnation.
+        :param begun_at: when the first event of this run arrived, if any.
+        :param sent_at: when the call was sent to the server. A crash known before that time isn't
+            attributed to the call; otherwise harmless streams would be stopped when many servers crash
+            at once.
         """
         if begun_at is not None and now() - begun_at > SUSPECT_RUN_SECONDS:
             return
@@ -224,7 +232,8 @@
         self.on_interrupted(Crash(fingerprint, *server_key))
 
     def mass_crash(self, call: Call) -> bool:
-        """Tell whether several servers ended just now but for those under a call: a cause of their own."""
+        """Tell whether several servers crashed just now, apart from those that this call is suspected
+        of, which indicates another cause."""
         oldest = now() - COMMON_CAUSE_SECONDS
         evidence = self._evidence_for(call)
         under_it = evidence.crashed_on if evidence is not None else frozenset()
@@ -232,28 +241,30 @@
         return sum(end.last_at >= oldest for end in others) >= MASS_CRASH_COUNT
 
     def server_ended(self, server_key: ServerKey) -> None:
-        """Take in that a server_key of a server has surely ended."""
+        """Record that a server incarnation has definitely ended."""
         at = now()
         known = self.recent_crashes.get(server_key)
         self.recent_crashes[server_key] = CrashTimes(known.first_at if known is not None else at, at)
         suspects = self.unconfirmed.pop(server_key, {})
-        told = {
+        remote = {
             suspect: since
             for suspect, since in self.remote_unconfirmed.pop(server_key, {}).items()
             if suspect not in suspects
         }
-        # Those of one end together: which of them explains it shows only then.
+        # Count all requests interrupted by this crash together, as which of them explains it can be
+        # judged only then.
         fresh = self._add_crashes(
             Crash(suspect, *server_key, round(at - since, 3))
-            for suspect, since in (suspects | told).items()
+            for suspect, since in (suspects | remote).items()
         )
         self._publish([crash for crash in fresh if crash.fingerprint in suspects])
 
     def server_alive(self, server_key: ServerKey, asked_at: float) -> None:
-        """Take in that a server_key of a server answers: what broke off there before did not end it.
+        """Record that a server incarnation responded: interruptions there before weren't caused by its
+        crash.
 
-        :param server_key: the server_key.
-        :param asked_at: when it was asked.
+        :param server_key: the server incarnation.
+        :param asked_at: when the request to which it responded was sent.
         """
         for known in (self.unconfirmed, self.remote_unconfirmed):
             if (fingerprints := known.get(server_key)) is not None:
@@ -262,7 +273,7 @@
                 }
 
     def note_answered(self, call: Call) -> None:
-        """Note a whole answer: the request ends no server."""
+        """Record a complete answer, which clears the request of all crashes."""
         self.answers.note(call, now())
         if not (self.evidence or self.unconfirmed or self.remote_unconfirmed):
             return
@@ -274,30 +285,31 @@
     def merge_crashes(
         self, crashes: Iterable[Crash], cleared: Iterable[Fingerprint]
     ) -> tuple[list[Crash], list[Fingerprint]]:
-        """Take in what another daemon tells.
+        """Merge a report of another daemon.
 
-        :param crashes: ends under requests.
+        :param crashes: crashes of servers, with the requests suspected of them.
         :param cleared: requests that were answered since.
-        :return: what of it was not known here.
+        :return: the part of the report that was new here.
         """
-        told = list(crashes)
-        answered = {crash.fingerprint for crash in told if self._answered_since(crash)}
+        reports = list(crashes)
+        answered = {crash.fingerprint for crash in reports if self._answered_since(crash)}
         if answered:
-            # Whoever counts that end has to hear of the answer, which came to another daemon.
+            # The daemons that count this crash have to learn of the answer, which arrived at another
+            # daemon.
             self._request_lift(answered)
             self.on_update([], sorted(answered))
-        fresh = self._add_crashes(told, self.rng.uniform(0.0, WRITE_SPREAD_SECONDS))
-        for crash in told:
-            # Whoever tells of it knows that this server_key has ended.
+        fresh = self._add_crashes(reports, self.rng.uniform(0.0, WRITE_SPREAD_SECONDS))
+        for crash in reports:
+            # The reporting daemon has confirmed that this incarnation has ended.
             self.server_ended(crash.key)
         return fresh, self._clear([*answered, *cleared])
 
-    def merge_interruptions(self, breaks: Iterable[Crash]) -> list[Crash]:
-        """Take in which requests broke off at other daemons, whose servers may have ended.
+    def merge_interruptions(self, interruptions: Iterable[Crash]) -> list[Crash]:
+        """Merge interruptions reported by another daemon, whose servers may have crashed.
 
-        :return: what was not heard before.
+        :return: those that were new here.
         """
-        fresh = [crash for crash in breaks if self._note_remote_interruption(crash)]
+        fresh = [crash for crash in interruptions if self._note_remote_interruption(crash)]
         for crash in fresh:
             if crash.key in self.recent_crashes:
                 self._add_crashes([crash])
@@ -306,7 +318,10 @@
         return fresh
 
     def _note_remote_interruption(self, crash: Crash) -> bool:
-        """Tell whether word of a break is new and of use; it dies out, as nobody passes it on twice."""
+        """Record a reported interruption; tell whether it is new and recent.
+
+        Each is forwarded only when new, so reports don't circulate forever.
+        """
         mark = (crash.fingerprint, crash.key)
         if (
             crash.age > UNCONFIRMED_SECONDS
@@ -318,31 +333,32 @@
         return True
 
     def snapshot(self) -> tuple[list[Crash], list[Fingerprint]]:
-        """Return the ends that count, and which of their requests are proven, for a daemon that joins.
+        """Return the crashes that count, and those of their requests that are proven, for a daemon that
+        joins.
 
-        Those heard of last, where there are many.
+        If there are many, only those updated last are returned.
         """
         at = now()
-        lately = [(fingerprint, e) for fingerprint, e in self.evidence.items() if e.crashed_on][
+        recent = [(fingerprint, e) for fingerprint, e in self.evidence.items() if e.crashed_on][
             -MAX_SHARED_ON_JOIN:
         ]
         crashes = [
             Crash(fingerprint, *end, round(at - e.interrupted_at.get(end, at), 3))
-            for fingerprint, e in lately
+            for fingerprint, e in recent
             for end in e.crashed_on
         ]
-        return crashes, [fingerprint for fingerprint, e in lately if e.proven]
+        return crashes, [fingerprint for fingerprint, e in recent if e.proven]
 
     def merge_stored(
         self, rows: dict[Fingerprint, list[ServerKey] | None], whole: bool, restored: bool = False
     ) -> None:
-        """Take in stops as they lie in the store.
+        """Merge the stops found in the store.
 
-        :param rows: ends by request; nothing for a stop that was lifted.
-        :param whole: whether these are all there are.
-        :param restored: whether the store came back from an older copy, which lacks newer stops.
+        :param rows: crashed incarnations by fingerprint; None for a stop that was lifted.
+        :param whole: whether the rows are the whole table.
+        :param restored: whether the store was restored from an older copy, which lacks newer stops.
         """
-        lifted = {fingerprint for fingerprint, ends in rows.items() if ends is None}
+        lifted = {fingerprint for fingerprint, incarnations in rows.items() if incarnations is None}
         missing = {
             fingerprint
             for fingerprint, e in self.evidence.items()
@@ -354,8 +370,8 @@
                 fingerprint for fingerprint in rows if fingerprint in self.recently_lifted
             }
             rows = {
-                fingerprint: ends
-                for fingerprint, ends in rows.items()
+                fingerprint: incarnations
+                for fingerprint, incarnations in rows.items()
                 if fingerprint not in self.recently_lifted
             }
         else:
@@ -365,9 +381,13 @@
                 event("INFO", "request let go", content=fingerprint, reason="its row was removed")
                 self.evidence.pop(fingerprint)
                 self.recently_lifted[fingerprint] = now()
-        stored = {fingerprint: ends for fingerprint, ends in rows.items() if ends is not None}
-        for fingerprint, ends in stored.items():
-            self._add_evidence(fingerprint, ends)
+        stored = {
+            fingerprint: incarnations
+            for fingerprint, incarnations in rows.items()
+            if incarnations is not None
+        }
+        for fingerprint, incarnations in stored.items():
+            self._add_evidence(fingerprint, incarnations)
             self.evidence[fingerprint].in_store = True
         for fingerprint in stored:
             evidence = self.evidence[fingerprint]
@@ -379,7 +399,7 @@
                 self._request_lift([fingerprint])
 
     def _schedule_rewrite(self, fingerprints: Iterable[Fingerprint]) -> None:
-        """Have the rows of stops written that a restored store has lost."""
+        """Schedule stops to be written again that a restored store has lost."""
         for fingerprint in fingerprints:
             evidence = self.evidence[fingerprint]
             evidence.in_store = False
@@ -393,12 +413,12 @@
         ]
 
     def expired(self) -> list[Fingerprint]:
-        """List the stops in the store that have lasted long enough."""
+        """List the stops in the store whose duration is over."""
         oldest = now() - STOP_SECONDS
         return [n for n, e in self.stopped() if e.in_store and (e.stopped_at or 0.0) < oldest]
 
     def tidy(self) -> None:
-        """Forget what no longer counts; called now and then."""
+        """Drop expired state; called periodically."""
         at = now()
         self.trials = {backend: trial for backend, trial in self.trials.items() if trial.until > at}
         for server_key in [
@@ -430,7 +450,8 @@
             self.evidence.pop(fingerprint)
 
     def _evidence_for(self, call: Call) -> Evidence | None:
-        """Return what is known against a call; costs nothing while nothing is known of any."""
+        """Return the evidence against a call, if any; computes no fingerprint while there is no
+        evidence at all."""
         return self.evidence.get(self.fingerprint_for(call)) if self.evidence else None
 
     def _get_or_create(self, fingerprint: Fingerprint) -> Evidence:
@@ -441,16 +462,16 @@
         return self.evidence[fingerprint]
 
     def _evict_if_full(self) -> None:
-        """Forget the oldest request that is not stopped, else the oldest stop, where there are too many."""
+        """If the limit is reached, drop the oldest request that isn't stopped, or else the oldest stop."""
         if len(self.evidence) < MAX_SUSPECTS:
             return
         oldest = next(iter(self.evidence))
         self.evidence.pop(next((n for n, e in self.evidence.items() if e.stopped_at is None), oldest))
 
     def _add_crashes(self, crashes: Iterable[Crash], write_after: float = 0.0) -> list[Crash]:
-        """Count ends; return those that are new here.
+        """Add crashes to the evidence; return those that are new here.
 
-        :param write_after: seconds after which a stop that follows is written to the store.
+        :param write_after: delay in seconds before a resulting stop is written to the store.
         """
         fresh = [
             crash
@@ -461,13 +482,15 @@
         self._reassess({crash.key for crash in fresh}, write_after)
         return fresh
 
-    def _reassess(self, ends: Set[ServerKey], write_after: float = 0.0) -> None:
-        """Stop the requests that are to be stopped by all that is known now, and let others go.
+    def _reassess(self, incarnations: Set[ServerKey], write_after: float = 0.0) -> None:
+        """Stop or release the requests affected by new crashes, on all evidence known now.
 
-        :param ends: what is new: only requests under these are looked at.
-        :param write_after: seconds after which a stop that follows is written to the store.
+        :param incarnations: incarnations with new crashes; only requests suspected of these are reassessed.
+        :param write_after: delay in seconds before a resulting stop is written to the store.
         """
-        for fingerprint in [n for n, e in self.evidence.items() if not ends.isdisjoint(e.crashed_on)]:
+        for fingerprint in [
+            n for n, e in self.evidence.items() if not incarnations.isdisjoint(e.crashed_on)
+        ]:
             evidence = self.evidence[fingerprint]
             if should_stop(fingerprint, self.evidence):
                 if evidence.stopped_at is None:
@@ -476,14 +499,19 @@
             elif evidence.proven and evidence.stopped_at is not None:
                 evidence.stopped_at = None
                 self._request_lift([fingerprint])
-                event("INFO", "request let go", content=fingerprint, reason="others explain its ends")
+                event(
+                    "INFO",
+                    "request let go",
+                    content=fingerprint,
+                    reason="other requests explain its crashes",
+                )
 
     def merge_proven(self, fingerprints: Iterable[Fingerprint]) -> list[Fingerprint]:
-        """Take in which requests were answered many times at other daemons; return those new here."""
+        """Merge requests that were answered many times at other daemons; return those new here."""
         return [fingerprint for fingerprint in fingerprints if self._mark_proven(fingerprint)]
 
     def _mark_proven(self, fingerprint: Fingerprint) -> bool:
-        """Note that a request was answered many times; tell whether that is new here."""
+        """Mark a request as answered many times; tell whether that is new here."""
         evidence = self._get_or_create(fingerprint)
         if evidence.proven:
             return False
@@ -492,27 +520,27 @@
         return True
 
     def _answered_since(self, crash: Crash) -> bool:
-        """Tell whether a request was answered here after it had been broken off elsewhere."""
+        """Tell whether a request was answered here after another daemon's run of it was interrupted."""
         return self.answers.last_answered_at(crash.fingerprint, self.key) > now() - crash.age
 
     def _request_lift(self, fingerprints: Iterable[Fingerprint]) -> None:
-        """Have the rows of stops removed, as their requests were answered."""
+        """Schedule the stored stops of requests to be removed, as these were answered."""
         known = [(fingerprint, self.evidence.get(fingerprint)) for fingerprint in fingerprints]
         self.pending_lifts |= {
             fingerprint for fingerprint, evidence in known if evidence is not None and evidence.in_store
         }
 
     def take_lifts(self) -> list[Fingerprint]:
-        """Return the stops whose rows this daemon is to remove, once."""
+        """Return the stops that this daemon has to remove from the store, and reset the list."""
         lifts, self.pending_lifts = sorted(self.pending_lifts), set()
         return lifts
 
     def _add_evidence(
-        self, fingerprint: Fingerprint, starts: Iterable[ServerKey], broke_at: float | None = None
+        self, fingerprint: Fingerprint, incarnations: Iterable[ServerKey], happened_at: float | None = None
     ) -> bool:
-        """Add ends to the evidence; tell whether one of them is new.
+        """Add crashed incarnations to the evidence against a request; tell whether any of them is new.
 
-        :param broke_at: when these servers broke the request off, if that is known.
+        :param happened_at: when these servers interrupted the request, if known.
         """
         evidence = self._get_or_create(fingerprint)
         if (
@@ -521,10 +549,10 @@
             and self._mark_proven(fingerprint)
         ):
             self.on_proven([fingerprint])
-        new = set(starts) - evidence.crashed_on - evidence.discounted
+        new = set(incarnations) - evidence.crashed_on - evidence.discounted
         evidence.crashed_on |= new
-        if broke_at is not None:
-            evidence.interrupted_at |= dict.fromkeys(new, broke_at)
+        if happened_at is not None:
+            evidence.interrupted_at |= dict.fromkeys(new, happened_at)
         if new:
             evidence.last_crash_at = now()
         return bool(new)
@@ -542,17 +570,18 @@
         )
 
     def _clear(self, fingerprints: Iterable[Fingerprint]) -> list[Fingerprint]:
-        """Let what ended and broke off under requests count no more; return those that this changes."""
+        """Discount all crashes and interruptions recorded against requests; return those requests that
+        this changes."""
         cleared = []
         for fingerprint in fingerprints:
-            broke = [
-                breaks.pop(fingerprint, None)
-                for breaks in (*self.unconfirmed.values(), *self.remote_unconfirmed.values())
+            times = [
+                interrupted.pop(fingerprint, None)
+                for interrupted in (*self.unconfirmed.values(), *self.remote_unconfirmed.values())
             ]
             evidence = self.evidence.get(fingerprint)
             if evidence is None or not evidence.crashed_on:
-                if any(since is not None for since in broke):
-                    # Others count what broke off here, and do not know of the answer.
+                if any(since is not None for since in times):
+                    # Other daemons count these interruptions, and don't know of the answer.
                     cleared.append(fingerprint)
                 continue
             evidence.discounted |= evidence.crashed_on
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -18,7 +18,7 @@
 from bayglade.entries.wire import LimitNotice, QuotaReply, QuotaRequest, QuotaReturn
 from bayglade.fanout import Push
 from bayglade.ids import MemberId, ServerKey, ServiceName
-from bayglade.questions import PendingReplies
+from bayglade.pending_replies import PendingReplies
 from bayglade.rate_limits import RateLimits, lent_rate
 from bayglade.servers import Server
 
--- a/bayglade/trials.py
+++ b/bayglade/trials.py
@@ -1,7 +1,8 @@
-"""Trials: requests that had just begun where a server ended are sent on apart from each other.
+"""Trials: suspects of a crash are sent again to different servers, isolated from each other.
 
-All but one of them are innocent. Sent anew together, to the one server that is best, they
-would all be there when it ends as well, and could not be told from the one that ends it.
+All requests that had just begun where a server crashed are suspects, and all but one of them are
+innocent. If they were sent again together, to the one server that is best, they would all be running
+there at the next crash too, and the one that causes it couldn't be told apart.
 """
 
 from collections.abc import Sequence
@@ -17,19 +18,20 @@
 
 TRIAL_POLL_SECONDS = 0.05
 PROBE_SECONDS = 0.1
-"""How long stages may take to accept a connection when they are looked at."""
+"""How long stages may take to accept a connection when they are probed."""
 
 
 def heads_to_avoid(peers: Peers, call: Call, avoided: frozenset[BackendId]) -> frozenset[BackendId]:
-    """Choose the first stage on which a suspect runs apart; wait a moment for one where no other does.
+    """Choose the first stage for a suspect, and return all others.
 
-    Of two that chance names it gets the one with less under way: daemons choose without
-    word of each other, and what runs beside it may end with it.
+    A stage is eligible when no other suspect of this daemon is on trial there; the call waits a moment
+    for one. Of two random candidates, the one with less load is chosen. Daemons choose without knowing
+    each other's choices, and what runs beside a suspect may be lost with it.
 
     :param peers: what the relay works with.
     :param call: the call.
-    :param avoided: servers that it does not go to anyway.
-    :return: all other first stages; nothing when the call is no suspect, or there is none apart.
+    :param avoided: servers to which it doesn't go in any case.
+    :return: all other first stages; empty if the call is no suspect, or no stage is eligible.
     """
     if not peers.quarantine.is_suspect(call):
         return frozenset()
@@ -46,11 +48,11 @@
 
 
 def wait_for_isolated(peers: Peers, call: Call, servers: Sequence[Server]) -> list[Server]:
-    """Return the servers on which no other suspect of this daemon has just begun.
+    """Return the servers on which no other suspect of this daemon is on trial.
 
     :param peers: what the relay works with.
     :param call: a suspect.
-    :param servers: those that could run it; while others are on trial on all of them, it waits.
+    :param servers: candidates; while other suspects are on trial on all of them, the call waits.
     """
     until = min(call.deadline, now() + TRIAL_SECONDS)
     while True:
@@ -62,15 +64,15 @@
 
 
 def refusing_stages(peers: Peers, call: Call, servers: Sequence[Server]) -> frozenset[BackendId]:
-    """Return the servers of a path that have ended already, before a call that one more end would stop.
+    """Return the servers of a path that refuse connections, if one more crash would stop the call.
 
-    Of servers that end at once some are not known to have ended yet; a call that was sent over one would
-    be stopped for an end that was not its own.
+    When several servers crash at once, some of them aren't known to be gone yet. A call sent over one
+    of those would be stopped for a crash that it didn't cause.
 
     :param peers: what the relay works with.
     :param call: the call.
-    :param servers: the servers that it would go to.
-    :return: those that refuse connections; nothing when the call may still break off once more.
+    :param servers: the servers of its path.
+    :return: those that refuse connections; empty if one more interruption wouldn't stop the call.
     """
     if peers.quarantine.resend_delay(call) <= 0:
         return frozenset()
