--- a/bayglade/admission.py
+++ b/bayglade/admission.py
@@ -12,7 +12,7 @@
 from bayglade.backends import Backends, BackendState
 from bayglade.clock import Decayed, now
 from bayglade.exceptions import BaygladeError, NoRoute, Overloaded
-from bayglade.fairness import ShareQueue, Waiting
+from bayglade.fairness import QueuedItem, ShareQueue
 from bayglade.ids import BackendId, GroupPath, ModelName, Version
 from bayglade.models import Completion, Route
 from bayglade.retries import spread_retry_after
@@ -94,7 +94,7 @@
         """
         kind = (request.model, request.version)
         self.check_coverage(kind)
-        self.usage.ask(request.group, request.cost)
+        self.usage.note_demand(request.group, request.cost)
         line = self._line(kind)
         if not len(line):
             route = self.take_route(kind)
@@ -203,7 +203,7 @@
     def _wait(self, request: Completion, line: Line) -> Route:
         turn = Event()
         latest = request.deadline - self._service_seconds(request)
-        waiting = Waiting(request.group, request.priority, request.cost, latest, turn)
+        waiting = QueuedItem(request.group, request.priority, request.cost, latest, turn)
         line.push(waiting)
         try:
             with eventlet.Timeout(max(0.0, latest - now()), False):
--- a/bayglade/buckets.py
+++ b/bayglade/buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets, whose rate may change at each use."""
+"""Token buckets whose rate may change with each use."""
 
 import math
 
@@ -6,11 +6,11 @@
 
 
 class Bucket:
-    """A token bucket that holds what flows in one second, and one token at least.
+    """A token bucket with a burst of one second's tokens, and of at least one token.
 
-    :param rate: tokens a second.
+    :param rate: tokens per second.
     :param at: the time now, in monotonic seconds.
-    :param level: tokens in it at first; it is full when left out.
+    :param level: initial tokens; full if omitted.
     """
 
     __slots__ = ("at", "level")
@@ -23,19 +23,18 @@
         return f"<Bucket {self.level:.1f}>"
 
     def refill(self, rate: float, at: float) -> None:
-        """Let in what has flowed since the last use."""
+        """Add the tokens accumulated since the last use."""
         self.level = min(capacity(rate), self.level + rate * (at - self.at))
         self.at = at
 
     def put_back(self, amount: float, rate: float) -> None:
-        """Put back what was taken and not used."""
+        """Return tokens that were taken and not used."""
         self.level = min(capacity(rate), self.level + amount)
 
     def wait_for(self, amount: float, rate: float) -> float:
-        """Return seconds until an amount is there: zero when it is there now, infinity at a rate of zero.
+        """Return seconds until an amount is available: zero if it is now, infinity at a rate of zero.
 
-        An amount above the burst may pass when the bucket is full and leaves a
-        debt behind.
+        An amount above the burst is allowed when the bucket is full, and leaves its level negative.
         """
         missing = min(amount, capacity(rate)) - self.level
         if missing <= 0:
@@ -44,5 +43,5 @@
 
 
 def capacity(rate: float) -> float:
-    """Return how many tokens a bucket holds at most."""
+    """Return the maximum number of tokens in a bucket."""
     return max(1.0, rate * BURST_SECONDS)
--- a/bayglade/diagnosis.py
+++ b/bayglade/diagnosis.py
@@ -235,7 +235,7 @@
                 if report.leaving:
                     self.fleet.said_leaving(server, "its report")
                 if report.rate_limit is not None:
-                    self.fleet.rate_limits.answered(server, report.rate_limit, asked_at, "a report")
+                    self.fleet.rate_limits.note_answer(server, report.rate_limit, asked_at, "a report")
                 self.fleet.pace(server, report.pace)
         finally:
             if self.asking.get(facts.id) is eventlet.getcurrent():
--- a/bayglade/division.py
+++ b/bayglade/division.py
@@ -11,13 +11,15 @@
 from bayglade.ids import GroupPath
 from bayglade.settings import path_of_parent
 
-EVEN_PART = 0.1
+EVEN_FRACTION = 0.1
 """Part of the pool that is divided evenly, for requests that nobody foresaw."""
 
 ShareOf = Callable[[GroupPath], float]
 
 
-def fill(demands: Mapping[GroupPath, float], share_of: ShareOf, capacity: float) -> dict[GroupPath, float]:
+def divide_by_shares(
+    demands: Mapping[GroupPath, float], share_of: ShareOf, capacity: float
+) -> dict[GroupPath, float]:
     """Divide a capacity over groups by their shares, level by level.
 
     What a group does not ask for goes to its siblings, by their shares.
@@ -49,14 +51,14 @@
             continue
         if own:
             wants[path] = own
-        parts = _fill_level(wants, lambda p, top=path: 1.0 if p == top else share_of(p), amount)
+        parts = _divide_among_siblings(wants, lambda p, top=path: 1.0 if p == top else share_of(p), amount)
         if own:
             given[path] = parts.pop(path)
         waiting.extend(parts.items())
     return given
 
 
-def _fill_level(
+def _divide_among_siblings(
     wants: Mapping[GroupPath, float], share_of: ShareOf, amount: float
 ) -> dict[GroupPath, float]:
     """Divide an amount over siblings: who wants less than their part gets all of it."""
@@ -74,9 +76,9 @@
     return parts
 
 
-def own_part(
-    mine: Mapping[GroupPath, float],
-    all_daemons: Mapping[GroupPath, float],
+def own_fraction(
+    local_demand: Mapping[GroupPath, float],
+    total_demand: Mapping[GroupPath, float],
     share_of: ShareOf,
     capacity: float,
     heard: int,
@@ -95,9 +97,13 @@
     """
     known = heard / max(members, heard)
     even = known / heard
-    given = fill(all_daemons, share_of, capacity)
+    given = divide_by_shares(total_demand, share_of, capacity)
     total = sum(given.values())
     if total <= 0:
         return even
-    own = sum(given[path] * mine.get(path, 0.0) / all_daemons[path] for path in given if all_daemons[path])
-    return EVEN_PART * even + (1.0 - EVEN_PART) * known * own / total
+    own = sum(
+        given[path] * local_demand.get(path, 0.0) / total_demand[path]
+        for path in given
+        if total_demand[path]
+    )
+    return EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * known * own / total
--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -273,7 +273,7 @@
         if at - self.beat_at >= BEAT_INTERVAL:
             self.beat_at = at
             self.on_due()
-            self.rows = self.usage.tell(rows_a_beat(len(self.members)))
+            self.rows = self.usage.report(rows_a_beat(len(self.members)))
             self.beat()
         for member in self.members.values():
             if not member.live(at):
@@ -395,7 +395,7 @@
         member.revision = beat.revision
         member.draining = beat.draining
         self._check_heard(member, beat.heard_age)
-        self.usage.hear(member.id, beat.usage)
+        self.usage.merge_report(member.id, beat.usage)
         self.on_beat(member.id, beat)
         if beat.revision <= self.revisions.current.revision:
             member.ahead_since = None
--- a/bayglade/fairness.py
+++ b/bayglade/fairness.py
@@ -22,7 +22,7 @@
 """Returns priority and share in force for a group."""
 
 
-class Waiting(Generic[EntryT]):
+class QueuedItem(Generic[EntryT]):
     """One entry of a queue: whose it is, what it costs and until when it helps."""
 
     __slots__ = ("cost", "entry", "group", "latest_start", "priority", "queued_at")
@@ -40,7 +40,7 @@
     def __repr__(self) -> str:
         return f"<Waiting {self.group} cost={self.cost}>"
 
-    def late(self, at: float) -> bool:
+    def is_late(self, at: float) -> bool:
         """Tell whether it has used up much of the time it had to wait."""
         return at - self.queued_at > LATE_FRACTION * (self.latest_start - self.queued_at)
 
@@ -53,7 +53,7 @@
     def __init__(self, path: GroupPath) -> None:
         self.path = path
         self.children: dict[GroupPath, _Node[EntryT]] = {}
-        self.entries: dict[int, deque[Waiting[EntryT]]] = {}
+        self.entries: dict[int, deque[QueuedItem[EntryT]]] = {}
         self.backlog = 0
         self.cost = 0.0
 
@@ -81,13 +81,13 @@
         """Tokens of everything that waits."""
         return self.root.cost
 
-    def push(self, waiting: Waiting[EntryT]) -> None:
+    def push(self, waiting: QueuedItem[EntryT]) -> None:
         """Add an entry."""
         nodes = self._nodes(waiting.group)
         nodes[-1].entries.setdefault(waiting.priority, deque()).append(waiting)
-        _count(nodes, 1, waiting.cost)
+        _update_totals(nodes, 1, waiting.cost)
 
-    def remove(self, waiting: Waiting[EntryT]) -> bool:
+    def remove(self, waiting: QueuedItem[EntryT]) -> bool:
         """Take an entry out before its turn.
 
         :return: false when it was no longer there.
@@ -97,10 +97,10 @@
         if entries is None or waiting not in entries:
             return False
         entries.remove(waiting)
-        _count(nodes, -1, -waiting.cost)
+        _update_totals(nodes, -1, -waiting.cost)
         return True
 
-    def pop(self) -> Waiting[EntryT] | None:
+    def pop(self) -> QueuedItem[EntryT] | None:
         """Take out the entry whose turn it is.
 
         Between groups the highest priority goes first, then the least service
@@ -118,11 +118,11 @@
             if child is None:
                 break
             nodes.append(child)
-        waiting = _take(nodes[-1], at)
-        _count(nodes, -1, -waiting.cost)
+        waiting = _take_entry(nodes[-1], at)
+        _update_totals(nodes, -1, -waiting.cost)
         return waiting
 
-    def restore(self, waiting: Waiting[EntryT]) -> None:
+    def put_back(self, waiting: QueuedItem[EntryT]) -> None:
         """Put an entry back that was taken out in vain, at the end where it was taken."""
         nodes = self._nodes(waiting.group)
         entries = nodes[-1].entries.setdefault(waiting.priority, deque())
@@ -130,11 +130,11 @@
             entries.append(waiting)
         else:
             entries.appendleft(waiting)
-        _count(nodes, 1, waiting.cost)
+        _update_totals(nodes, 1, waiting.cost)
 
-    def all(self) -> list[Waiting[EntryT]]:
+    def all(self) -> list[QueuedItem[EntryT]]:
         """List every entry."""
-        found: list[Waiting[EntryT]] = []
+        found: list[QueuedItem[EntryT]] = []
         nodes = [self.root]
         while nodes:
             node = nodes.pop()
@@ -192,13 +192,13 @@
         return best if best_rank <= (-self.share_of(node.path)[0], own) else None
 
 
-def _take(node: _Node[EntryT], at: float) -> Waiting[EntryT]:
+def _take_entry(node: _Node[EntryT], at: float) -> QueuedItem[EntryT]:
     priority = max(p for p, entries in node.entries.items() if entries)
     entries = node.entries[priority]
-    return entries.pop() if entries[0].late(at) else entries.popleft()
+    return entries.pop() if entries[0].is_late(at) else entries.popleft()
 
 
-def _count(nodes: list[_Node[EntryT]], backlog: int, cost: float) -> None:
+def _update_totals(nodes: list[_Node[EntryT]], backlog: int, cost: float) -> None:
     for node in nodes:
         node.backlog += backlog
         node.cost = node.cost + cost if node.backlog else 0.0
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -1,10 +1,10 @@
-"""Lending: retries that are left in a data hall go to the daemon that needs them.
+"""Lending of retry budget: unused retries of a data hall go to the daemons that need them.
 
-The users bound the repeated sendings of all daemons together. Divided among
-many daemons that is a few for each, while a lost backend server hits the
-requests of some. So most of the bound lies with the readers of the halls (see
-:mod:`bayglade.readers`), and daemons borrow from theirs. What is lent counts as
-used at once, for as long as the bound's window and the life of the loan.
+The users limit the retries of all daemons together. Divided evenly among many daemons, this leaves a
+few for each, while the loss of a backend server affects the requests of only some daemons. So most of
+the budget is held by the readers of the halls (see :mod:`bayglade.readers`), and daemons borrow from
+the readers of their hall. A loan counts as used at once, for the window of the budget plus the lifetime
+of the loan.
 """
 
 from collections.abc import Callable, Sequence
@@ -16,22 +16,23 @@
 from bayglade.pending_replies import PendingReplies
 from bayglade.retries import RetryBudget
 
-POOLED_PART = 0.7
-"""Part of the bound that lies with the readers; the rest is divided among all daemons."""
-LOAN = 4
-"""Retries borrowed at once: about as many as streams of one daemon that one server's loss hits."""
+POOLED_FRACTION = 0.7
+"""Fraction of the budget held by the readers; the rest is divided among all daemons."""
+LOAN_SIZE = 4
+"""Retries borrowed at once: about as many as streams of one daemon that the loss of one server
+interrupts."""
 LOAN_SECONDS = 2.0
 """How long a loan may be used."""
-BORROW_SECONDS = 0.05
+BORROW_TIMEOUT_SECONDS = 0.05
 """How long a request waits for a loan."""
 
 
-class Pools:
+class RetryPools:
     """The retries that this daemon lends, as a reader, and those it borrows.
 
-    :param readers: returns the readers that this daemon may borrow from.
+    :param readers: returns the readers from which this daemon may borrow.
     :param push: sends a message to another daemon.
-    :param window: seconds over which the bound counts.
+    :param window: the window in seconds over which the budget is counted.
     """
 
     def __init__(self, readers: Callable[[], Sequence[MemberId]], push: Push, window: float) -> None:
@@ -39,21 +40,21 @@
         self.push = push
         self.window = window
         self.floor = 0.0
-        """Retries that this reader may lend within a window, for each service."""
+        """Retries that this reader may lend per service and window."""
 
         self.opens_at: float | None = None
-        """A reader lends nothing before: what was lent by one before it still counts."""
+        """When a reader may start to lend: loans of its predecessor count until then."""
 
         self.lent: dict[str, RetryBudget] = {}
-        self.questions: PendingReplies[int] = PendingReplies()
+        self.pending: PendingReplies[int] = PendingReplies()
 
     def __repr__(self) -> str:
-        return f"<Pools {self.floor:.0f} to lend>"
+        return f"<RetryPools {self.floor:.0f} to lend>"
 
     def assign(self, floor: float) -> None:
-        """Take in how much this daemon may lend.
+        """Set how much this daemon may lend.
 
-        :param floor: retries of each service in a window; nothing unless it is a reader.
+        :param floor: retries per service and window; zero unless it is a reader.
         """
         self.floor = floor
         if not floor:
@@ -66,9 +67,9 @@
     def lend(self, service: str, wanted: int) -> int:
         """Take retries out of the pool.
 
-        :param service: the service whose requests are sent again.
-        :param wanted: how many.
-        :return: how many were left.
+        :param service: the service whose requests are retried.
+        :param wanted: the number requested.
+        :return: the number granted.
         """
         if self.opens_at is None or now() < self.opens_at:
             return 0
@@ -77,31 +78,31 @@
         budget = self.lent[service]
         return sum(budget.retry() for _ in range(wanted))
 
-    def heard_borrow(self, member: MemberId, message: Borrow) -> None:
-        """Answer a daemon that wants to borrow."""
+    def handle_borrow(self, member: MemberId, message: Borrow) -> None:
+        """Reply to a daemon that requests a loan."""
         self.push(member, Lent(message.number, self.lend(message.service, message.wanted)))
 
-    def heard_lent(self, member: MemberId, message: Lent) -> None:
-        """Hand a loan to the request that waits for it; a late one is lost."""
-        self.questions.resolve(message.number, message.amount)
+    def handle_lent(self, member: MemberId, message: Lent) -> None:
+        """Deliver a loan to the request that waits for it; a late one is dropped."""
+        self.pending.resolve(message.number, message.amount)
 
     def borrow(self, service: str, budget: RetryBudget) -> None:
-        """Borrow for a budget that is spent; returns at once where nobody lends.
+        """Borrow retries for an exhausted budget; returns at once if there is no lender.
 
-        :param service: the service whose requests are sent again.
-        :param budget: this daemon's own for that service.
+        :param service: the service whose requests are retried.
+        :param budget: this daemon's own budget for that service.
         """
-        amount = self.lend(service, LOAN)
+        amount = self.lend(service, LOAN_SIZE)
         if not amount and (readers := self.readers()):
-            amount = self._ask(readers, service)
+            amount = self._ask_reader(readers, service)
         if amount:
             budget.borrowed(amount, now() + LOAN_SECONDS)
 
-    def _ask(self, readers: Sequence[MemberId], service: str) -> int:
-        reader = readers[self.questions.last_number % len(readers)]
+    def _ask_reader(self, readers: Sequence[MemberId], service: str) -> int:
+        reader = readers[self.pending.last_number % len(readers)]
         return (
-            self.questions.request(
-                lambda number: self.push(reader, Borrow(number, service, LOAN)), BORROW_SECONDS
+            self.pending.request(
+                lambda number: self.push(reader, Borrow(number, service, LOAN_SIZE)), BORROW_TIMEOUT_SECONDS
             )
             or 0
         )
--- a/bayglade/limits.py
+++ b/bayglade/limits.py
@@ -8,7 +8,7 @@
 from bayglade.usage import Usage
 
 BUSY_RETRY_AFTER = 1.0
-NOTHING_RETRY_AFTER = 60.0
+ZERO_LIMIT_RETRY_AFTER = 60.0
 """Where a limit is zero."""
 UNLIMITED = Limits()
 
@@ -28,7 +28,7 @@
     def __repr__(self) -> str:
         return f"<GroupLimits {len(self.requests)} request rates, {len(self.tokens)} token rates>"
 
-    def enter(self, tree: Tree, group: GroupPath, tokens: float, members: int) -> None:
+    def acquire(self, tree: Tree, group: GroupPath, tokens: float, members: int) -> None:
         """Take one request of a group, at its level and at all above, or nothing.
 
         :param tree: the settings in force.
@@ -42,7 +42,7 @@
         for path, level in levels:
             if level.limits == UNLIMITED:
                 continue
-            self._check(path, level, tokens, self.usage.fraction(path, members, at), at)
+            self._check(path, level, tokens, self.usage.limit_fraction(path, members, at), at)
         for path, level in levels:
             self.in_flight[path] = self.in_flight.get(path, 0) + 1
             if level.limits.requests_per_second is not None:
@@ -50,7 +50,7 @@
             if level.limits.tokens_per_second is not None:
                 self.tokens[path].level -= tokens
 
-    def leave(self, group: GroupPath) -> None:
+    def give_back(self, group: GroupPath) -> None:
         """Give back the place of a request that ended."""
         for path in lineage(group):
             self.in_flight[path] -= 1
@@ -85,7 +85,7 @@
         bucket.refill(rate, at)
         wait = bucket.wait_for(amount, rate)
         if wait > 0:
-            raise _exceeded(name, path, wait if rate > 0 else NOTHING_RETRY_AFTER)
+            raise _exceeded(name, path, wait if rate > 0 else ZERO_LIMIT_RETRY_AFTER)
 
 
 def _exceeded(name: str, path: GroupPath, retry_after: float) -> LimitExceeded:
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -107,7 +107,7 @@
         at = now()
         limited = [s for s in self.fleet.of(service) if s.throttle is not None and s.sound(at)]
         near = [server for server in limited if server.facts.hall == self.hall]
-        self.fleet.rate_limits.want(near or limited)
+        self.fleet.rate_limits.request_tokens(near or limited)
 
     def _compared(self, own: Path) -> bool:
         """Tell whether other halls are compared with a path of the own one."""
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -28,11 +28,11 @@
 from bayglade.freshness import wait_within
 from bayglade.ids import MemberId
 from bayglade.intake import Intake
-from bayglade.lending import POOLED_PART, Pools
+from bayglade.lending import POOLED_FRACTION, RetryPools
 from bayglade.listener import listen
 from bayglade.logs import event
 from bayglade.lost_rows import KEEP_SECONDS, recover, stored_members, write_delay
-from bayglade.quotas import Quotas, choose_keeper
+from bayglade.quotas import Quotas, choose_owner
 from bayglade.readers import LOST_SECONDS, Duty, Lost, Order, Plan, make_plan, streams_of
 from bayglade.relay import Peers
 from bayglade.retries import BUDGET_FLOOR, RetryBudget
@@ -41,7 +41,7 @@
 from bayglade.servers import Server
 from bayglade.spreading import Spreading
 from bayglade.stops import read_stops, remove_stop, write_stop
-from bayglade.totals import Totals
+from bayglade.totals import LoadTotals
 from bayglade.usage import Usage
 
 ROSTER_BOUND = 50.0
@@ -106,8 +106,8 @@
         host = parse_address(config.callers).host
         self.address = f"{host}:{config.peer_ports.partition(',')[0]}"
         self.fanout = Fanout({**feeds, table: self.feed}, proof, self._push, self.address)
-        self.totals = Totals(config.member)
-        self.pools = Pools(self._readers, self._push, config.retry_window_seconds)
+        self.totals = LoadTotals(config.member)
+        self.pools = RetryPools(self._readers, self._push, config.retry_window_seconds)
         self.spreading = Spreading(
             config.member,
             peers.fleet,
@@ -196,11 +196,11 @@
         hall = server.facts.hall
         if len(self.order.site) > FULL_MESH:
             readers = self.plan.readers
-            return choose_keeper(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
+            return choose_owner(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
         gone = self.lost.since.keys() | self.membership.stopping()
         live = [member for member in self.order.site if member not in gone]
         near = [member for member in live if self.order.halls[member] == hall]
-        return choose_keeper(server.facts.key, near or live)
+        return choose_owner(server.facts.key, near or live)
 
     def _route(self, member: MemberId) -> MemberId | None:
         """Return the gateway over which another one is reached: itself, or a reader of the own hall."""
@@ -301,19 +301,19 @@
         if not members:
             # Nobody is known yet; there may be many.
             return min(BUDGET_FLOOR, bound)
-        kept = 1.0 - POOLED_PART if self.totals.readers else 1.0
+        kept = 1.0 - POOLED_FRACTION if self.totals.readers else 1.0
         return kept * bound / members
 
     def _pooled(self) -> float:
         """Return the part of the bound that this gateway lends, as a reader."""
-        if not self.totals.reading():
+        if not self.totals.is_reader():
             return 0.0
         readers = sum(len(names) for names in self.totals.readers.values())
-        return POOLED_PART * BUDGET_PART * self.config.retry_floor / readers
+        return POOLED_FRACTION * BUDGET_PART * self.config.retry_floor / readers
 
     def _readers(self) -> Sequence[MemberId]:
         """Return the readers from whom retries are borrowed: those of the own hall."""
-        return () if self.totals.reading() else self.totals.readers.get(self.config.hall, ())
+        return () if self.totals.is_reader() else self.totals.readers.get(self.config.hall, ())
 
     def _membership(self, secret: bytes) -> Membership:
         membership = Membership(
@@ -327,22 +327,22 @@
             self._heard_beat,
             self.rng,
         )
-        membership.on_due = lambda: self.totals.add_up(self._loads())
+        membership.on_due = lambda: self.totals.update_sums(self._loads())
         membership.sums_for = self.totals.for_member
         membership.on_poll = self._heard_poll
         membership.on_updates = self.fanout.heard_updates
         membership.on_unable = self.fanout.heard_unable
         membership.on_findings = self.spreading.heard
         membership.greet = self.spreading.greeting
-        membership.on_borrow = self.pools.heard_borrow
-        membership.on_lent = self.pools.heard_lent
-        membership.on_quota_request = self.quotas.heard_request
-        membership.on_quota_reply = self.quotas.heard_reply
-        membership.on_quota_return = self.quotas.heard_return
+        membership.on_borrow = self.pools.handle_borrow
+        membership.on_lent = self.pools.handle_lent
+        membership.on_quota_request = self.quotas.handle_request
+        membership.on_quota_reply = self.quotas.handle_reply
+        membership.on_quota_return = self.quotas.handle_return
         membership.fetch_after = FETCH_AFTER_SECONDS if self.intake.caught_up else 0.0
         membership.caught_up = lambda: self.intake.caught_up
-        self.peers.paths.elsewhere = lambda: self.totals.elsewhere(self._loads())
-        self.peers.paths.daemons = lambda: self.totals.neighbours() + 1
+        self.peers.paths.elsewhere = lambda: self.totals.other_daemons(self._loads())
+        self.peers.paths.daemons = lambda: self.totals.count_hall_peers() + 1
         self.peers.diagnosis.daemons = membership.count
         self.peers.paths.pipes.daemons = membership.count
         return membership
@@ -437,7 +437,7 @@
         self.membership.sync(addresses, wanted)
 
     def _heard_beat(self, member: MemberId, beat: wire.Heartbeat) -> None:
-        self.totals.hear(member, beat)
+        self.totals.merge_heartbeat(member, beat)
         self.catch_up.hear(member, beat.revision, beat.caught_up)
         self.spreading.heard_of(load.key for load in beat.loads)
 
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -1,7 +1,8 @@
-"""Quotas: each request to a server that names a rate limit is lent by the one daemon that keeps it.
+"""Quotas: one daemon per server grants the requests that its rate limit allows to all daemons.
 
-All daemons choose the same keeper, by hash, from those that live. What others ask it for goes out of one
-token bucket, so that whichever daemons have callers get all of the limit, and all together no more.
+All daemons choose the same owner of a server's limit, by hash, among the live daemons. The owner grants
+requests out of one token bucket. So the whole limit is available to whichever daemons have clients, and
+together they never exceed it.
 
 See ``docs/design/rate_limits.md``.
 """
@@ -19,151 +20,155 @@
 from bayglade.fanout import Push
 from bayglade.ids import MemberId, ServerKey, ServiceName
 from bayglade.pending_replies import PendingReplies
-from bayglade.rate_limits import RateLimits, lent_rate
+from bayglade.rate_limits import RateLimits, usable_rate
 from bayglade.servers import Server
 
-LOAN_SECONDS = 1.0
-"""How long a request that was lent may wait to be sent; an unused one is returned then."""
-ASK_SECONDS = 0.05
-"""How long to wait for the keeper: several times the way to another daemon and back."""
-UNREACHED_SECONDS = 0.25
-"""When to ask again where no keeper answered: another one is chosen once it has been silent for a while."""
-MAX_ASK_AGAIN_SECONDS = 1.0
-"""The longest time after which a daemon asks again for a limit that has a request to lend sooner."""
+GRANT_SECONDS = 1.0
+"""How long a granted request may wait to be sent; an unused token is returned after that."""
+REPLY_TIMEOUT_SECONDS = 0.05
+"""How long to wait for the owner: several times the round trip to another daemon."""
+UNREACHABLE_RETRY_SECONDS = 0.25
+"""Retry delay if no owner replied: another one is chosen once it has been silent for a while."""
+MAX_RETRY_SECONDS = 1.0
+"""Maximum retry delay for a daemon if the limit allows a request sooner than that."""
 CONTENDER_SECONDS = 2.0
-"""For how long a daemon that asked counts among those that divide a limit."""
+"""How long a daemon counts as a contender for a limit after it asked."""
 MAX_HOPS = 1
-"""How often a question may be passed on: daemons of a large site have no stream to every keeper."""
+"""How often a request for a token may be forwarded: daemons of a large site have no stream to every
+owner."""
 RANK_BYTES = 8
 
-Keeper = Callable[[Server], MemberId | None]
-"""Returns the daemon that keeps the limit of a server; nothing while the daemons are not known."""
-Route = Callable[[MemberId], MemberId | None]
-"""Returns the daemon over which another one is reached; nothing when it is not reached."""
+OwnerOf = Callable[[Server], MemberId | None]
+"""Returns the daemon that owns the limit of a server; None while the daemons aren't known."""
+NextHop = Callable[[MemberId], MemberId | None]
+"""Returns the daemon through which another one is reached; None if it can't be reached."""
 
 
 class Pool:
-    """What is left of the limit of a server, at its keeper; times are monotonic seconds."""
+    """The tokens left of a server's limit, at its owner; times are in monotonic seconds."""
 
-    __slots__ = ("askers", "bucket")
+    __slots__ = ("bucket", "last_asked")
 
     def __init__(self, rate: float, at: float) -> None:
-        # Whoever kept the limit before may just have lent what a full bucket holds.
+        # Starts empty: the previous owner may just have granted what a full bucket holds.
         self.bucket = Bucket(rate, at, 0.0)
-        self.askers: dict[MemberId, float] = {}
-        """When each daemon asked last."""
+        self.last_asked: dict[MemberId, float] = {}
+        """When each daemon last asked."""
 
     def __repr__(self) -> str:
-        return f"<Pool {self.bucket!r} {len(self.askers)} askers>"
+        return f"<Pool {self.bucket!r} {len(self.last_asked)} contenders>"
 
-    def contenders(self, member: MemberId, at: float) -> int:
-        """Note that a daemon asks; return how many did lately."""
-        self.askers[member] = at
-        self.askers = {name: asked for name, asked in self.askers.items() if at - asked < CONTENDER_SECONDS}
-        return len(self.askers)
+    def count_contenders(self, member: MemberId, at: float) -> int:
+        """Record that a daemon asks; return how many have asked recently."""
+        self.last_asked[member] = at
+        self.last_asked = {
+            name: asked for name, asked in self.last_asked.items() if at - asked < CONTENDER_SECONDS
+        }
+        return len(self.last_asked)
 
 
 class Quotas:
-    """The requests that this daemon lends, as a keeper, and those it borrows.
+    """The tokens that this daemon grants as an owner, and those it requests from other owners.
 
     :param limits: the limits of servers.
     :param me: this daemon.
-    :param keeper: returns the keeper of a server's limit.
-    :param route: returns over whom a keeper is reached.
+    :param owner_of: returns the owner of a server's limit.
+    :param next_hop: returns the daemon through which an owner is reached.
     :param push: sends a message to another daemon.
-    :param wake: told of each service that has a request to send now.
-    :param rng: source of chance.
+    :param wake: called with each service that has a token for a request now.
+    :param rng: source of randomness.
     """
 
     def __init__(
         self,
         limits: RateLimits,
         me: MemberId,
-        keeper: Keeper,
-        route: Route,
+        owner_of: OwnerOf,
+        next_hop: NextHop,
         push: Push,
         wake: Callable[[ServiceName], None],
         rng: random.Random,
     ) -> None:
         self.limits = limits
         self.me = me
-        self.keeper = keeper
-        self.route = route
+        self.owner_of = owner_of
+        self.next_hop = next_hop
         self.push = push
         self.wake = wake
         self.rng = rng
         self.pools: dict[ServerKey, Pool] = {}
-        self.questions: PendingReplies[QuotaReply] = PendingReplies()
-        limits.on_wanted = self.want
+        self.pending: PendingReplies[QuotaReply] = PendingReplies()
+        limits.on_needed = self.request_token
 
     def __repr__(self) -> str:
         return f"<Quotas of {len(self.pools)} servers>"
 
-    def want(self, server: Server) -> None:
-        """Ask for a request to a server, unless one is there or was asked for."""
+    def request_token(self, server: Server) -> None:
+        """Request a token for a server, unless one is available or requested already."""
         throttle, at = server.throttle, now()
         if throttle is None or throttle.asking or throttle.has_token(at) or at < throttle.retry_at:
             return
         throttle.asking = True
-        eventlet.spawn_n(self._borrow, server)
+        eventlet.spawn_n(self._fetch_token, server)
 
-    def lend(self, server: Server, member: MemberId) -> QuotaReply:
-        """Lend a request out of the limit of a server, if this daemon keeps it and there is one.
+    def grant(self, server: Server, member: MemberId) -> QuotaReply:
+        """Grant a token out of the limit of a server that this daemon owns, if one is available.
 
         :param server: the server.
-        :param member: the daemon that wants to send it.
+        :param member: the daemon that wants to send a request.
         """
         if server.throttle is None:
-            # It names no limit any more, as is known here.
+            # The limit has ended, as this daemon knows.
             return QuotaReply(granted=True)
-        at, rate = now(), lent_rate(server)
+        at, rate = now(), usable_rate(server)
         pool = self.pools.setdefault(server.facts.key, Pool(rate, at))
-        contenders = pool.contenders(member, at)
+        contenders = pool.count_contenders(member, at)
         pool.bucket.refill(rate, at)
         wait = pool.bucket.wait_for(1.0, rate)
         if wait <= 0:
             pool.bucket.level -= 1.0
             return QuotaReply(granted=True, contenders=contenders)
-        # Asked by all at the moment of the next request, a keeper would be busy with refusing.
+        # Spreads the retries: if all contenders asked at the moment of the next token, refusing them
+        # would keep the owner busy.
         spread = self.rng.uniform(0.0, (contenders - 1) / rate)
-        return QuotaReply(wait=min(wait + spread, max(wait, MAX_ASK_AGAIN_SECONDS)), contenders=contenders)
+        return QuotaReply(wait=min(wait + spread, max(wait, MAX_RETRY_SECONDS)), contenders=contenders)
 
-    def heard_request(self, member: MemberId, message: QuotaRequest) -> None:
-        """Answer a daemon that wants to send a request, or ask the keeper for it."""
-        self.limits.heard([message.limit])
+    def handle_request(self, member: MemberId, message: QuotaRequest) -> None:
+        """Reply to a daemon that requests a token, or forward the request to the owner."""
+        self.limits.merge_notices([message.limit])
         server = self.limits.find(message.limit.key)
         if server is None:
-            self.push(member, QuotaReply(message.number, wait=UNREACHED_SECONDS))
+            self.push(member, QuotaReply(message.number, wait=UNREACHABLE_RETRY_SECONDS))
             return
-        if self.keeper(server) == self.me:
-            reply = self.lend(server, message.limit.finder)
+        if self.owner_of(server) == self.me:
+            reply = self.grant(server, message.limit.finder)
             self.push(member, msgspec.structs.replace(reply, number=message.number))
         elif message.hops < MAX_HOPS:
-            eventlet.spawn_n(self._pass_on, member, message, server)
+            eventlet.spawn_n(self._forward, member, message, server)
         else:
-            self.push(member, QuotaReply(message.number, wait=UNREACHED_SECONDS))
+            self.push(member, QuotaReply(message.number, wait=UNREACHABLE_RETRY_SECONDS))
 
-    def heard_reply(self, member: MemberId, message: QuotaReply) -> None:
-        """Take in what a keeper lends; a late answer is lost."""
-        self.questions.resolve(message.number, message)
+    def handle_reply(self, member: MemberId, message: QuotaReply) -> None:
+        """Deliver an owner's reply; a late one is dropped."""
+        self.pending.resolve(message.number, message)
 
-    def heard_return(self, member: MemberId, message: QuotaReturn) -> None:
-        """Take back a request that was lent and not sent."""
+    def handle_return(self, member: MemberId, message: QuotaReturn) -> None:
+        """Take back an unused token."""
         server = self.limits.find(message.key)
         if server is not None:
-            self._return(server, message.hops)
+            self._return_token(server, message.hops)
 
     def tidy(self) -> None:
-        """Drop the pools of servers that name no limit any more."""
+        """Drop the pools of servers that no longer have a limit."""
         keys = {server.facts.key for server in self.limits.limited()}
         self.pools = {key: pool for key, pool in self.pools.items() if key in keys}
 
-    def _borrow(self, server: Server) -> None:
+    def _fetch_token(self, server: Server) -> None:
         throttle = server.throttle
         if throttle is None:
             return
         try:
-            reply = self._ask(server, self.limits.notice(server), 0)
+            reply = self._ask_owner(server, self.limits.notice(server), 0)
         finally:
             throttle.asking = False
         at = now()
@@ -171,58 +176,59 @@
         if not reply.granted:
             throttle.retry_at = at + reply.wait
             return
-        until = at + LOAN_SECONDS
+        until = at + GRANT_SECONDS
         throttle.lent(until)
-        eventlet.spawn_after(LOAN_SECONDS, self._expire, server, until)
+        eventlet.spawn_after(GRANT_SECONDS, self._expire, server, until)
         self.wake(server.facts.service)
 
-    def _ask(self, server: Server, notice: LimitNotice, hops: int) -> QuotaReply:
-        """Ask the keeper of a server's limit for a request."""
-        keeper = self.keeper(server)
-        if keeper == self.me:
-            return self.lend(server, notice.finder)
-        over = self.route(keeper) if keeper is not None else None
+    def _ask_owner(self, server: Server, notice: LimitNotice, hops: int) -> QuotaReply:
+        """Request a token from the owner of a server's limit."""
+        owner = self.owner_of(server)
+        if owner == self.me:
+            return self.grant(server, notice.finder)
+        over = self.next_hop(owner) if owner is not None else None
         if over is None:
-            return QuotaReply(wait=UNREACHED_SECONDS)
-        reply = self.questions.request(
-            lambda number: self.push(over, QuotaRequest(number, notice, hops)), ASK_SECONDS
+            return QuotaReply(wait=UNREACHABLE_RETRY_SECONDS)
+        reply = self.pending.request(
+            lambda number: self.push(over, QuotaRequest(number, notice, hops)), REPLY_TIMEOUT_SECONDS
         )
-        return reply or QuotaReply(wait=UNREACHED_SECONDS)
+        return reply or QuotaReply(wait=UNREACHABLE_RETRY_SECONDS)
 
-    def _pass_on(self, member: MemberId, message: QuotaRequest, server: Server) -> None:
-        reply = self._ask(server, message.limit, message.hops + 1)
+    def _forward(self, member: MemberId, message: QuotaRequest, server: Server) -> None:
+        reply = self._ask_owner(server, message.limit, message.hops + 1)
         self.push(member, msgspec.structs.replace(reply, number=message.number))
 
     def _expire(self, server: Server, until: float) -> None:
         throttle = server.throttle
         if throttle is not None and throttle.token and throttle.lent_until == until:
             throttle.token = False
-            self._return(server, 0)
+            self._return_token(server, 0)
 
-    def _return(self, server: Server, hops: int) -> None:
+    def _return_token(self, server: Server, hops: int) -> None:
         if server.throttle is None:
             return
-        keeper = self.keeper(server)
-        if keeper == self.me:
+        owner = self.owner_of(server)
+        if owner == self.me:
             if (pool := self.pools.get(server.facts.key)) is not None:
-                pool.bucket.put_back(1.0, lent_rate(server))
+                pool.bucket.put_back(1.0, usable_rate(server))
             return
-        over = self.route(keeper) if keeper is not None else None
+        over = self.next_hop(owner) if owner is not None else None
         if over is not None and hops <= MAX_HOPS:
             key = server.facts.key
             self.push(over, QuotaReturn(key.backend, key.incarnation, hops + 1))
 
 
-def choose_keeper(key: ServerKey, members: Iterable[MemberId]) -> MemberId | None:
-    """Choose the daemon that keeps the limit of a server: the same at all daemons that know the same ones.
+def choose_owner(key: ServerKey, members: Iterable[MemberId]) -> MemberId | None:
+    """Choose the daemon that owns a server's limit; the result is the same at all daemons with the same
+    members.
 
-    :param key: the start of the server.
-    :param members: the daemons that may keep it.
+    :param key: the server incarnation.
+    :param members: the daemons that may own it.
     """
     return min(members, key=lambda member: _rank(key, member), default=None)
 
 
 def _rank(key: ServerKey, member: MemberId) -> bytes:
-    # By server, so that different daemons keep the limits of many servers.
+    # Hashes the server with the daemon, so that the limits of many servers are spread over the daemons.
     name = f"{key.backend}|{key.incarnation}|{member}"
     return hashlib.blake2b(name.encode(), digest_size=RANK_BYTES).digest()
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -9,7 +9,7 @@
 from bayglade.claims import Claim, Claims, Kept
 from bayglade.clock import now
 from bayglade.completions import Answer, Completions
-from bayglade.division import own_part
+from bayglade.division import own_fraction
 from bayglade.engines import Engines
 from bayglade.exceptions import (
     BackendError,
@@ -80,9 +80,9 @@
         :param heard: how many daemons are heard, this one included.
         """
         at = now()
-        part = own_part(
-            self.usage.asked_here(at),
-            self.usage.asked_everywhere(at),
+        part = own_fraction(
+            self.usage.local_demand(at),
+            self.usage.total_demand(at),
             self.admission.share_of_group,
             self.usage.total(ROOT, at) / USAGE_TAU * CAPACITY_MARGIN,
             heard,
@@ -134,13 +134,13 @@
         """Hold a place under all limits; a claim of what was not run is given back."""
         try:
             self.trust.check()
-            self.limits.enter(self.tree, request.group, cost, self.trust.member_count())
+            self.limits.acquire(self.tree, request.group, cost, self.trust.member_count())
             self.active[request.id] = request
             try:
                 yield
             finally:
                 del self.active[request.id]
-                self.limits.leave(request.group)
+                self.limits.give_back(request.group)
         except BaygladeError as error:
             if claim is not None and error.outcome is Outcome.NOT_RUN:
                 self.claims.release(claim)
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -147,4 +147,4 @@
         peers.fleet.rest(server, head.rest_seconds)
     if head.rate_limit is not None or head.genuine:
         # Only what the server vouches for shows that it names no limit any more.
-        peers.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
+        peers.fleet.rate_limits.note_answer(server, head.rate_limit, sent_at, "an answer")
--- a/bayglade/spreading.py
+++ b/bayglade/spreading.py
@@ -68,7 +68,7 @@
         quarantine.on_update = self._tell_soon
         quarantine.on_proven = self._tell_proven
         quarantine.on_interrupted = self._tell_break
-        fleet.rate_limits.on_news = self._tell_limits
+        fleet.rate_limits.on_update = self._tell_limits
         fleet.on_said_leaving = self._tell_leaving
         self.dead = Reports()
         self.back = Reports()
@@ -93,7 +93,7 @@
         crashes, cleared = self.quarantine.merge_crashes(found.crashes, found.cleared)
         leaving = [key for key in found.leaving if self._take_leaving(key)]
         breaks = self.quarantine.merge_interruptions(found.breaks)
-        limits = self.fleet.rate_limits.heard(found.limits)
+        limits = self.fleet.rate_limits.merge_notices(found.limits)
         news = Findings(dead, back, crashes, cleared, leaving, proven, breaks, limits)
         if self.passes_on() and news != Findings():
             self.tell(news, member)
@@ -103,7 +103,7 @@
     def greeting(self) -> list[Findings]:
         """Return what a daemon is to know that has just joined, or was out of reach."""
         crashes, proven = self.quarantine.snapshot()
-        limits = self.fleet.rate_limits.known()
+        limits = self.fleet.rate_limits.snapshot()
         if not crashes and not limits:
             return []
         return [Findings(crashes=crashes, proven=proven if crashes else [], limits=limits)]
--- a/bayglade/totals.py
+++ b/bayglade/totals.py
@@ -12,10 +12,10 @@
 from bayglade.entries.wire import Heartbeat, ServerLoad, Sums
 from bayglade.ids import HallName, MemberId, ServerKey
 
-FRESH_SECONDS = 3.5
+REPORT_MAX_AGE_SECONDS = 3.5
 """How long what a daemon told sums: as long as it is taken to live."""
 
-UNHEARD_SECONDS = 3.0
+STARTUP_SECONDS = 3.0
 """For how long after its start a daemon takes the others of its hall to have at least as much under way
 as itself. After a loss of power of all, callers come back before the first sums do, and each daemon would
 find the quickest way of its hall empty."""
@@ -24,7 +24,7 @@
 """Sums by server; those of an earlier start of a server stand apart from those of the next."""
 
 
-class Told:
+class LoadReport:
     """What one daemon told last; the time is monotonic."""
 
     __slots__ = ("at", "everywhere", "hall", "own")
@@ -39,7 +39,7 @@
         return f"<Told {now() - self.at:.1f} s ago>"
 
 
-class Totals:
+class LoadTotals:
     """The sums as one daemon hears and tells them.
 
     :param me: this daemon.
@@ -52,11 +52,11 @@
         self.sums = Sums()
         """What was told with the last heartbeat."""
 
-        self.told: dict[MemberId, Told] = {}
+        self.reports: dict[MemberId, LoadReport] = {}
         self.started_at = now()
 
     def __repr__(self) -> str:
-        return f"<Totals of {len(self.told)} daemons>"
+        return f"<Totals of {len(self.reports)} daemons>"
 
     def assign(
         self, daemons: Mapping[MemberId, HallName], readers: Mapping[HallName, Sequence[MemberId]]
@@ -68,23 +68,23 @@
         """
         self.halls = dict(daemons)
         self.readers = readers
-        self.told = {member: told for member, told in self.told.items() if member in daemons}
+        self.reports = {member: told for member, told in self.reports.items() if member in daemons}
 
-    def hear(self, member: MemberId, beat: Heartbeat) -> None:
+    def merge_heartbeat(self, member: MemberId, beat: Heartbeat) -> None:
         """Take in what a daemon tells."""
-        self.told[member] = Told(beat)
+        self.reports[member] = LoadReport(beat)
 
-    def reading(self) -> bool:
+    def is_reader(self) -> bool:
         """Tell whether this daemon adds up the sums of its hall."""
         return self.me in self.readers.get(self.halls.get(self.me, HallName("")), [])
 
-    def add_up(self, own: list[ServerLoad]) -> None:
+    def update_sums(self, own: list[ServerLoad]) -> None:
         """Work out what to tell until the next time.
 
         :param own: the sums of this daemon.
         """
-        if self.reading():
-            self.sums = Sums(own, self.hall_sum(own), self.everywhere(own))
+        if self.is_reader():
+            self.sums = Sums(own, self.hall_sum(own), self.site_sum(own))
         else:
             self.sums = Sums(own)
 
@@ -108,18 +108,18 @@
         """
         hall = self.halls.get(self.me)
         sums = _add({}, own)
-        for member, told in self._fresh().items():
+        for member, told in self._fresh_reports().items():
             if self.halls.get(member) == hall:
                 _add(sums, told.own)
         return list(sums.values())
 
-    def everywhere(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
+    def site_sum(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
         """Return the sum over all halls, as far as readers tell of them.
 
         :param own: the sums of this daemon.
         """
         sums = _add({}, self.hall_sum(own))
-        fresh = self._fresh()
+        fresh = self._fresh_reports()
         for hall, readers in self.readers.items():
             if hall == self.halls.get(self.me):
                 continue
@@ -129,40 +129,40 @@
                 _add(sums, heard.hall)
         return list(sums.values())
 
-    def elsewhere(self, own: Iterable[ServerLoad]) -> Loads:
+    def other_daemons(self, own: Iterable[ServerLoad]) -> Loads:
         """Return what the other daemons have under way.
 
         :param own: the sums of this daemon, which the sums of its readers contain.
         """
         own = list(own)
-        heard = self._heard(own)
-        neighbours = self.neighbours()
-        if neighbours and now() - self.started_at < UNHEARD_SECONDS:
-            _raise_to(heard, own, neighbours)
+        heard = self._sum_of_others(own)
+        neighbours = self.count_hall_peers()
+        if neighbours and now() - self.started_at < STARTUP_SECONDS:
+            _raise_to_multiple(heard, own, neighbours)
         return heard
 
-    def neighbours(self) -> int:
+    def count_hall_peers(self) -> int:
         """Return how many other daemons the own hall has."""
         own = self.halls.get(self.me)
         return sum(1 for member, hall in self.halls.items() if hall == own and member != self.me)
 
-    def _heard(self, own: Iterable[ServerLoad]) -> Loads:
-        fresh = self._fresh()
+    def _sum_of_others(self, own: Iterable[ServerLoad]) -> Loads:
+        fresh = self._fresh_reports()
         mine = _add({}, own)
-        if self.reading():
-            return _without(_add({}, self.everywhere(own)), mine)
+        if self.is_reader():
+            return _subtract(_add({}, self.site_sum(own)), mine)
         readers = self.readers.get(self.halls.get(self.me, HallName("")), [])
         sums = next((fresh[r].everywhere for r in readers if r in fresh), None)
         if sums is not None:
-            return _without(_add({}, sums), mine)
+            return _subtract(_add({}, sums), mine)
         heard: Loads = {}
         for told in fresh.values():
             _add(heard, told.own)
         return heard
 
-    def _fresh(self) -> dict[MemberId, Told]:
-        oldest = now() - FRESH_SECONDS
-        return {member: told for member, told in self.told.items() if told.at >= oldest}
+    def _fresh_reports(self) -> dict[MemberId, LoadReport]:
+        oldest = now() - REPORT_MAX_AGE_SECONDS
+        return {member: told for member, told in self.reports.items() if told.at >= oldest}
 
 
 def _add(sums: Loads, loads: Iterable[ServerLoad]) -> Loads:
@@ -174,7 +174,7 @@
     return sums
 
 
-def _raise_to(loads: Loads, own: Iterable[ServerLoad], times: int) -> None:
+def _raise_to_multiple(loads: Loads, own: Iterable[ServerLoad], times: int) -> None:
     """Raise sums to at least so many times the own ones."""
     for load in own:
         known = loads.get(load.key)
@@ -188,7 +188,7 @@
     return ServerLoad(load.backend, heads, cached, load.incarnation)
 
 
-def _without(sums: Loads, own: Loads) -> Loads:
+def _subtract(sums: Loads, own: Loads) -> Loads:
     """Take the own part out of sums, which may be older than it."""
     left: Loads = {}
     for key, total in sums.items():
--- a/bayglade/usage.py
+++ b/bayglade/usage.py
@@ -29,12 +29,12 @@
 
     def __init__(self) -> None:
         self.local: dict[GroupPath, Decayed] = {}
-        self.own_leaves: dict[GroupPath, Decayed] = {}
+        self.local_leaves: dict[GroupPath, Decayed] = {}
         self.remote: dict[MemberId, dict[GroupPath, Decayed]] = {}
         self.remote_total: dict[GroupPath, Decayed] = {}
-        self.asked: dict[GroupPath, Decayed] = {}
-        self.remote_asked: dict[MemberId, dict[GroupPath, Decayed]] = {}
-        self.told = 0
+        self.demand: dict[GroupPath, Decayed] = {}
+        self.remote_demand: dict[MemberId, dict[GroupPath, Decayed]] = {}
+        self.report_offset = 0
 
     def __repr__(self) -> str:
         return f"<Usage {len(self.local)} groups, {len(self.remote)} daemons>"
@@ -46,7 +46,7 @@
         :param tokens: tokens; negative when an estimate is corrected.
         """
         at = now()
-        _add(self.own_leaves, path, tokens, at)
+        _add(self.local_leaves, path, tokens, at)
         for level in lineage(path):
             _add(self.local, level, tokens, at)
 
@@ -54,23 +54,23 @@
         """Return recent tokens of a group and all below it, over all daemons."""
         return max(0.0, _read(self.local, path, at) + _read(self.remote_total, path, at))
 
-    def ask(self, path: GroupPath, tokens: float) -> None:
+    def note_demand(self, path: GroupPath, tokens: float) -> None:
         """Count what a group asks for here, whether or not it is served."""
-        _add(self.asked, path, tokens, now())
+        _add(self.demand, path, tokens, now())
 
-    def asked_here(self, at: float) -> dict[GroupPath, float]:
+    def local_demand(self, at: float) -> dict[GroupPath, float]:
         """Return what groups ask for through this daemon, in tokens a second."""
-        return {path: count.read(at) / USAGE_TAU for path, count in self.asked.items()}
+        return {path: count.read(at) / USAGE_TAU for path, count in self.demand.items()}
 
-    def asked_everywhere(self, at: float) -> dict[GroupPath, float]:
+    def total_demand(self, at: float) -> dict[GroupPath, float]:
         """Return what groups ask for through all daemons heard, in tokens a second."""
-        total = self.asked_here(at)
-        for groups in self.remote_asked.values():
+        total = self.local_demand(at)
+        for groups in self.remote_demand.values():
             for path, count in groups.items():
                 total[path] = total.get(path, 0.0) + count.read(at) / USAGE_TAU
         return total
 
-    def fraction(self, path: GroupPath, members: int, at: float) -> float:
+    def limit_fraction(self, path: GroupPath, members: int, at: float) -> float:
         """Return the part of a group's limit that this daemon may use.
 
         Daemons that were heard divide by need; the part of silent ones is
@@ -82,12 +82,12 @@
         :return: between 0 and 1.
         """
         heard = min(members, len(self.remote) + 1)
-        mine = _below(self.asked, path, at)
-        total = mine + sum(_below(groups, path, at) for groups in self.remote_asked.values())
+        mine = _sum_below(self.demand, path, at)
+        total = mine + sum(_sum_below(groups, path, at) for groups in self.remote_demand.values())
         need = (mine + 1.0) / (total + heard)
         return need * heard / max(members, 1)
 
-    def tell(self, count: int) -> list[GroupUsage]:
+    def report(self, count: int) -> list[GroupUsage]:
         """List the own counts of the next groups in turn, for the other daemons.
 
         :param count: how many groups at most.
@@ -95,21 +95,21 @@
         """
         at = now()
         self._forget(at)
-        groups = sorted(self.own_leaves.keys() | self.asked.keys())
+        groups = sorted(self.local_leaves.keys() | self.demand.keys())
         if len(groups) > count:
-            start = self.told % len(groups)
-            self.told = start + count
+            start = self.report_offset % len(groups)
+            self.report_offset = start + count
             groups = (groups[start:] + groups[:start])[:count]
         return [
-            GroupUsage(path, round(_read(self.own_leaves, path, at)), round(_read(self.asked, path, at)))
+            GroupUsage(path, round(_read(self.local_leaves, path, at)), round(_read(self.demand, path, at)))
             for path in groups
         ]
 
-    def hear(self, member: MemberId, rows: list[GroupUsage]) -> None:
+    def merge_report(self, member: MemberId, rows: list[GroupUsage]) -> None:
         """Take in counts of another daemon, each in place of its earlier one."""
         at = now()
         served = self.remote.setdefault(member, {})
-        asked = self.remote_asked.setdefault(member, {})
+        asked = self.remote_demand.setdefault(member, {})
         for row in rows:
             self._set_remote(served, row.group, row.served, at)
             asked[row.group] = _decayed(row.asked, at)
@@ -120,7 +120,7 @@
         served = self.remote.pop(member, {})
         for path in list(served):
             self._set_remote(served, path, 0.0, at)
-        self.remote_asked.pop(member, None)
+        self.remote_demand.pop(member, None)
 
     def _set_remote(
         self, served: dict[GroupPath, Decayed], path: GroupPath, amount: float, at: float
@@ -133,7 +133,13 @@
 
     def _forget(self, at: float) -> None:
         """Drop counts that have faded away."""
-        for counts in (self.own_leaves, self.asked, self.local, self.remote_total, *self.remote.values()):
+        for counts in (
+            self.local_leaves,
+            self.demand,
+            self.local,
+            self.remote_total,
+            *self.remote.values(),
+        ):
             for path in [path for path, count in counts.items() if abs(count.read(at)) < FORGET_BELOW]:
                 del counts[path]
 
@@ -148,7 +154,7 @@
     return counts[path].read(at) if path in counts else 0.0
 
 
-def _below(counts: dict[GroupPath, Decayed], top: GroupPath, at: float) -> float:
+def _sum_below(counts: dict[GroupPath, Decayed], top: GroupPath, at: float) -> float:
     return sum(count.read(at) for path, count in counts.items() if contains(top, path))
 
 
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -13,7 +13,7 @@
 
 from bayglade.calls import Call
 from bayglade.clock import Decayed, now
-from bayglade.fairness import ShareOf, ShareQueue, Waiting
+from bayglade.fairness import QueuedItem, ShareOf, ShareQueue
 from bayglade.ids import ServiceName
 from bayglade.places import Place
 from bayglade.settings import ROOT
@@ -131,7 +131,7 @@
         queue = self._queue(call.service)
         turn = Turn(seek, choosy, hopeless)
         priority = BEGUN_PRIORITY if begun else call.priority
-        waiting = Waiting(call.group or ROOT, priority, cost(call), until, turn)
+        waiting = QueuedItem(call.group or ROOT, priority, cost(call), until, turn)
         queue.push(waiting)
         if not self.begun.ready():
             self.begun.send()
@@ -165,7 +165,7 @@
         have room.
         """
         queue = self._queue(service)
-        aside: list[Waiting[Turn]] = []
+        aside: list[QueuedItem[Turn]] = []
         while len(aside) <= MAX_ASIDE and (waiting := queue.pop()) is not None:
             if waiting.entry.hopeless():
                 waiting.entry.granted.send(None)
@@ -178,7 +178,7 @@
             if not waiting.entry.choosy:
                 break
         for waiting in reversed(aside):
-            queue.restore(waiting)
+            queue.put_back(waiting)
 
     def run(self) -> None:
         """Look for places now and then while requests wait, for ever."""
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -160,7 +160,7 @@
     """Choose a server that was not tried, the least busy by this daemon's own count."""
     at = now()
     servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
-    peers.fleet.rate_limits.want(servers)
+    peers.fleet.rate_limits.request_tokens(servers)
     fitting = [server for server in servers if server.opens_at(at) <= at]
     if not fitting or attempts.only() is not None:
         return None
--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -321,11 +321,11 @@
         usage = Usage()
         for n in range(groups):
             usage.charge(GroupPath(f"khangai/airport-{n:03}"), 1000.0 + n)
-            usage.ask(GroupPath(f"khangai/airport-{n:03}"), 1000.0 + n)
+            usage.note_demand(GroupPath(f"khangai/airport-{n:03}"), 1000.0 + n)
         beat = _heartbeat(usage)
         tracemalloc.start()
         heard = Usage()
-        heard.hear(MemberId("d1"), beat.usage)
+        heard.merge_report(MemberId("d1"), beat.usage)
         state, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         rows.append(
@@ -334,7 +334,7 @@
                 len(sealer.seal(beat)),
                 state,
                 _milliseconds(partial(sealer.seal, beat)),
-                _milliseconds(partial(heard.hear, MemberId("d1"), beat.usage)),
+                _milliseconds(partial(heard.merge_report, MemberId("d1"), beat.usage)),
             ]
         )
     print_table("Heartbeats", ["groups", "bytes", "state bytes", "seal ms", "hear ms"], rows)
@@ -344,7 +344,7 @@
     return entries_wire.Heartbeat(
         revision=1234,  # type: ignore[arg-type]
         draining=False,
-        usage=usage.tell(64),
+        usage=usage.report(64),
         leaving=[],
         held=[],
     )
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -122,25 +122,25 @@
 def test_heartbeats_keep_to_their_budget_of_bytes(neighbour_count):
     usage = Usage()
     for n in range(300):
-        usage.ask(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
+        usage.note_demand(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
         usage.charge(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
     sealer = wire.Sealer(b"k" * 32)
-    rows = usage.tell(rows_a_beat(neighbour_count))
+    rows = usage.report(rows_a_beat(neighbour_count))
     assert len(sealer.seal(beat(1234, rows))) * neighbour_count <= BYTES_A_SECOND * 1.2
 
 
 def test_all_groups_are_told_in_turn():
     usage = Usage()
     for n in range(10):
-        usage.ask(GroupPath(f"g{n}"), 1000.0)
-    told = [row.group for _ in range(4) for row in usage.tell(3)]
+        usage.note_demand(GroupPath(f"g{n}"), 1000.0)
+    told = [row.group for _ in range(4) for row in usage.report(3)]
     assert set(told) == {f"g{n}" for n in range(10)}
 
 
 def test_a_daemon_that_is_dropped_leaves_nothing_behind():
     usage = Usage()
-    usage.hear(MemberId("d2"), [wire.GroupUsage(GroupPath("a/b"), 100.0, 100.0)])
+    usage.merge_report(MemberId("d2"), [wire.GroupUsage(GroupPath("a/b"), 100.0, 100.0)])
     usage.drop(MemberId("d2"))
 
     assert usage.total(GroupPath("a"), now()) == pytest.approx(0.0, abs=0.1)
-    assert usage.asked_everywhere(now()) == {}
+    assert usage.total_demand(now()) == {}
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -8,7 +8,7 @@
 
 from bayglade import clock, division, fairness, limits, retries, settings
 from bayglade.exceptions import LimitExceeded
-from bayglade.fairness import ShareQueue, Waiting
+from bayglade.fairness import QueuedItem, ShareQueue
 from bayglade.ids import GroupPath, MemberId
 from bayglade.usage import GroupUsage, Usage
 
@@ -20,7 +20,7 @@
 
 
 def waiting(group, cost=1.0, priority=0, latest=1e12, entry=None):
-    return Waiting(GroupPath(group), priority, cost, latest, entry)
+    return QueuedItem(GroupPath(group), priority, cost, latest, entry)
 
 
 def serve(queue, usage, count):
@@ -59,7 +59,7 @@
 
 def test_service_told_by_another_daemon_counts():
     queue, usage = filled(["a/x", "b"], 100)
-    usage.hear(MemberId("d2"), [GroupUsage(GroupPath("a/x"), 1000.0, 0.0)])
+    usage.merge_report(MemberId("d2"), [GroupUsage(GroupPath("a/x"), 1000.0, 0.0)])
     assert serve(queue, usage, 50) == {"b": 50.0}
     usage.drop(MemberId("d2"))
     assert usage.total(GroupPath("a"), clock.now()) < 1.0
@@ -68,7 +68,7 @@
 def test_what_another_daemon_tells_twice_counts_once():
     usage = Usage()
     for _ in range(2):
-        usage.hear(MemberId("d2"), [GroupUsage(GroupPath("a/x"), 100.0, 50.0)])
+        usage.merge_report(MemberId("d2"), [GroupUsage(GroupPath("a/x"), 100.0, 50.0)])
     at = clock.now()
     assert usage.total(GroupPath("a"), at) == pytest.approx(100.0, rel=0.01)
 
@@ -115,7 +115,7 @@
 
 @given(DEMANDS, st.floats(1, 2000))
 def test_division_gives_nobody_more_than_asked_and_leaves_nothing_over(demands, capacity):
-    given_out = division.fill(demands, lambda path: share_of(path)[1], capacity)
+    given_out = division.divide_by_shares(demands, lambda path: share_of(path)[1], capacity)
     assert set(given_out) == set(demands)
     for path, amount in given_out.items():
         assert amount <= demands[path] * (1 + 1e-9)
@@ -125,14 +125,14 @@
 
 def test_division_follows_the_shares_when_all_want_more():
     demands = {GroupPath(path): 1000.0 for path in ("a/x", "a/y", "b")}
-    given_out = division.fill(demands, lambda path: share_of(path)[1], 120.0)
+    given_out = division.divide_by_shares(demands, lambda path: share_of(path)[1], 120.0)
     assert given_out == pytest.approx({"a/x": 20.0, "a/y": 60.0, "b": 40.0})
 
 
 def test_a_daemon_gets_the_part_that_its_groups_are_due():
     demands = {GroupPath("a"): 100.0, GroupPath("b"): 100.0}
     parts = [
-        division.own_part(mine, demands, lambda path: share_of(path)[1], 60.0, 2, 2)
+        division.own_fraction(mine, demands, lambda path: share_of(path)[1], 60.0, 2, 2)
         for mine in ({GroupPath("a"): 100.0, GroupPath("b"): 50.0}, {GroupPath("b"): 50.0})
     ]
     assert sum(parts) == pytest.approx(1.0)
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize(("heard", "members", "part"), [(1, 1, 1.0), (1, 4, 0.25), (4, 4, 0.25)])
 def test_silent_daemons_keep_their_part(heard, members, part):
-    assert division.own_part({}, {}, lambda _: 1.0, 0.0, heard, members) == pytest.approx(part)
+    assert division.own_fraction({}, {}, lambda _: 1.0, 0.0, heard, members) == pytest.approx(part)
 
 
 def limited(**fields):
@@ -163,30 +163,30 @@
     monkeypatch.setattr(limits, "now", lambda: at)
     held, tree = limits.GroupLimits(Usage()), limited(**fields)
     for _ in range(passed):
-        held.enter(tree, GroupPath("a"), cost, 1)
+        held.acquire(tree, GroupPath("a"), cost, 1)
     with pytest.raises(LimitExceeded) as caught:
-        held.enter(tree, GroupPath("a"), cost, 1)
+        held.acquire(tree, GroupPath("a"), cost, 1)
     assert caught.value.retry_after > 0
-    held.leave(GroupPath("a"))
+    held.give_back(GroupPath("a"))
 
 
 def test_a_limit_of_a_level_binds_all_below_it():
     held = limits.GroupLimits(Usage())
     tree = limited(in_flight=1)
     tree.root.groups["a"].groups = {"x": settings.Level(), "y": settings.Level()}
-    held.enter(tree, GroupPath("a/x"), 1.0, 1)
+    held.acquire(tree, GroupPath("a/x"), 1.0, 1)
     with pytest.raises(LimitExceeded):
-        held.enter(tree, GroupPath("a/y"), 1.0, 1)
+        held.acquire(tree, GroupPath("a/y"), 1.0, 1)
 
 
 def test_daemons_divide_a_limit_by_need():
     usage = Usage()
-    usage.ask(GroupPath("a"), 100.0)
+    usage.note_demand(GroupPath("a"), 100.0)
     at = clock.now()
-    alone = usage.fraction(GroupPath("a"), 2, at)
+    alone = usage.limit_fraction(GroupPath("a"), 2, at)
     assert alone == pytest.approx(0.5, rel=0.02)
-    usage.hear(MemberId("d2"), [GroupUsage(GroupPath("a"), 0.0, 300.0)])
-    assert usage.fraction(GroupPath("a"), 2, at) == pytest.approx(0.25, rel=0.05)
+    usage.merge_report(MemberId("d2"), [GroupUsage(GroupPath("a"), 0.0, 300.0)])
+    assert usage.limit_fraction(GroupPath("a"), 2, at) == pytest.approx(0.25, rel=0.05)
 
 
 def test_a_retry_budget_is_a_floor_and_a_tenth_of_the_traffic():
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -25,7 +25,7 @@
 from bayglade.servers import Server
 from bayglade.spreading import Spreading
 from bayglade.tiling import Span
-from bayglade.totals import Totals
+from bayglade.totals import LoadTotals
 from bayglade.upstream import Links
 from tests.server_rows import BORN, facts_of
 from tests.test_diagnosis import ALIVE, Stages
@@ -209,15 +209,15 @@
 
 
 def test_loads_of_an_earlier_start_are_not_those_of_the_next() -> None:
-    totals = Totals(MemberId("me"))
+    totals = LoadTotals(MemberId("me"))
     totals.assign({MemberId(name): HallName("h") for name in ("me", "a", "b")}, {})
     for name, born, heads in (("a", BORN, 7), ("b", LATER, 2)):
         loads = [ServerLoad(ID, heads, 0, Incarnation(born))]
         beat = Heartbeat(revision=Revision(1), draining=False, usage=[], leaving=[], held=[], loads=loads)
-        totals.hear(MemberId(name), beat)
+        totals.merge_heartbeat(MemberId(name), beat)
     fleet = listed()
     after = again(fleet)
-    assert totals.elsewhere([])[after.facts.key].heads == 2
+    assert totals.other_daemons([])[after.facts.key].heads == 2
 
 
 def loader_of(fleet: Fleet, report: Any, monkeypatch: pytest.MonkeyPatch) -> tuple[Loader, list[Span]]:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -7,7 +7,7 @@
 from bayglade import lending, retries
 from bayglade.entries.wire import Borrow, Lent, Message
 from bayglade.ids import MemberId
-from bayglade.lending import LOAN, LOAN_SECONDS, Pools
+from bayglade.lending import LOAN_SECONDS, LOAN_SIZE, RetryPools
 from bayglade.retries import RetryBudget
 from tests.clocks import ManualClock
 
@@ -24,20 +24,20 @@
     return made
 
 
-def a_reader(clock: ManualClock) -> tuple[Pools, list[Message]]:
+def a_reader(clock: ManualClock) -> tuple[RetryPools, list[Message]]:
     sent: list[Message] = []
-    pools = Pools(lambda: (), lambda m, message: sent.append(message), WINDOW)
+    pools = RetryPools(lambda: (), lambda m, message: sent.append(message), WINDOW)
     pools.assign(FLOOR)
     return pools, sent
 
 
 def test_a_new_reader_lends_nothing_until_older_loans_are_over(clock: ManualClock) -> None:
     pools, _ = a_reader(clock)
-    assert pools.lend(SERVICE, LOAN) == 0
+    assert pools.lend(SERVICE, LOAN_SIZE) == 0
     clock.at += WINDOW + LOAN_SECONDS - 0.1
-    assert pools.lend(SERVICE, LOAN) == 0
+    assert pools.lend(SERVICE, LOAN_SIZE) == 0
     clock.at += 0.2
-    assert pools.lend(SERVICE, LOAN) == LOAN
+    assert pools.lend(SERVICE, LOAN_SIZE) == LOAN_SIZE
 
 
 def test_a_daemon_that_was_no_reader_for_a_while_begins_anew(clock: ManualClock) -> None:
@@ -45,15 +45,15 @@
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     pools.assign(0.0)
     pools.assign(FLOOR)
-    assert pools.lend(SERVICE, LOAN) == 0
+    assert pools.lend(SERVICE, LOAN_SIZE) == 0
 
 
 def test_a_wish_to_borrow_is_answered_with_what_is_left(clock: ManualClock) -> None:
     pools, sent = a_reader(clock)
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     for number in range(8):
-        pools.heard_borrow(MemberId("d5"), Borrow(number, SERVICE, LOAN))
-    assert [message.amount for message in sent if isinstance(message, Lent)] == [LOAN] * 5 + [0] * 3
+        pools.handle_borrow(MemberId("d5"), Borrow(number, SERVICE, LOAN_SIZE))
+    assert [message.amount for message in sent if isinstance(message, Lent)] == [LOAN_SIZE] * 5 + [0] * 3
 
 
 def test_a_loan_is_used_after_the_own_budget_and_ends(clock: ManualClock) -> None:
@@ -68,8 +68,8 @@
 
 def test_an_answer_that_nobody_waits_for_is_passed_over(clock: ManualClock) -> None:
     pools, _ = a_reader(clock)
-    pools.heard_lent(MemberId("d1"), Lent(99, LOAN))
-    assert pools.questions.waiting == {}
+    pools.handle_lent(MemberId("d1"), Lent(99, LOAN_SIZE))
+    assert pools.pending.waiting == {}
 
 
 def test_no_window_sees_more_loans_than_the_floor(clock: ManualClock) -> None:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -15,7 +15,7 @@
 from bayglade.entries.wire import Findings, LimitNotice, Message, QuotaReply, QuotaRequest, QuotaReturn
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, MemberId
-from bayglade.quotas import LOAN_SECONDS, Quotas, choose_keeper
+from bayglade.quotas import GRANT_SECONDS, Quotas, choose_owner
 from bayglade.servers import Server
 from standins.limit_sharing import allowed, worst_window
 from tests.server_rows import facts_of
@@ -52,12 +52,12 @@
         self.fleet.take([facts_of(layers=None, kind=None)], [], outage=False)
         self.limits = self.fleet.rate_limits
         self.limits.me = self.name
-        self.limits.on_news = self._tell
+        self.limits.on_update = self._tell
         self.quotas = Quotas(
             self.limits,
             self.name,
-            self._keeper,
-            self._route,
+            self._owner_of,
+            self._next_hop,
             lambda to, message: site.deliver(self, to, message),
             lambda service: self.serve(),
             random.Random(name),
@@ -81,7 +81,7 @@
         self.callers = [until for until in self.callers if until > now()]
         while self.callers:
             throttle = self.server.throttle
-            self.limits.want([self.server])
+            self.limits.request_tokens([self.server])
             if throttle is not None and not throttle.take(now()):
                 return
             self.callers.pop(0)
@@ -102,30 +102,30 @@
             eventlet.spawn_after(self.frozen_until - now() + WAY_SECONDS, self.hear, sender, message)
             return
         if isinstance(message, Findings):
-            news = self.limits.heard(message.limits)
+            news = self.limits.merge_notices(message.limits)
             if news and self.name in self.site.readers():
                 self.site.tell(self, Findings(limits=news), but=sender)
         elif isinstance(message, QuotaRequest):
-            self.quotas.heard_request(sender, message)
+            self.quotas.handle_request(sender, message)
         elif isinstance(message, QuotaReply):
-            self.quotas.heard_reply(sender, message)
+            self.quotas.handle_reply(sender, message)
         elif isinstance(message, QuotaReturn):
-            self.quotas.heard_return(sender, message)
+            self.quotas.handle_return(sender, message)
 
     def _answered(self, sent_at: float, rate: float | None) -> None:
         if not self.alive:
             return
         if rate is not None and self.told_at is None:
             self.told_at = now()
-        self.limits.answered(self.server, rate, sent_at, "an answer")
+        self.limits.note_answer(self.server, rate, sent_at, "an answer")
 
     def _tell(self, notices: list[LimitNotice]) -> None:
         self.site.tell(self, Findings(limits=notices))
 
-    def _keeper(self, server: Server) -> MemberId | None:
-        return choose_keeper(server.facts.key, self.site.readers(self) or self.site.names(self))
+    def _owner_of(self, server: Server) -> MemberId | None:
+        return choose_owner(server.facts.key, self.site.readers(self) or self.site.names(self))
 
-    def _route(self, member: MemberId) -> MemberId | None:
+    def _next_hop(self, member: MemberId) -> MemberId | None:
         readers = self.site.readers(self)
         known = self.site.streams(self.name)
         return next((name for name in (member, *readers) if name in known), None)
@@ -149,15 +149,17 @@
         self.made += 1
         for other in self.daemons.values():
             # A daemon that joins is told what holds.
-            if (known := other.limits.known()) and other.name in self.readers() | self.streams(daemon.name):
+            if (known := other.limits.snapshot()) and other.name in self.readers() | self.streams(
+                daemon.name
+            ):
                 eventlet.spawn_after(WAY_SECONDS, daemon.hear, other.name, Findings(limits=known))
         self.daemons[daemon.name] = daemon
         return daemon
 
-    def keeper(self) -> Daemon:
+    def owner(self) -> Daemon:
         """Return the daemon that keeps the limit."""
         viewer = next(daemon for daemon in self.daemons.values() if daemon.alive)
-        name = viewer._keeper(viewer.server)
+        name = viewer._owner_of(viewer.server)
         assert name is not None
         return self.daemons[name]
 
@@ -270,7 +272,7 @@
         site = Site(count, 2.0)
         site.run(5.0, 8.0)
         for _ in range(4):
-            site.kill(site.keeper())
+            site.kill(site.owner())
             site.run(1.0, 8.0)
             site.add()
             site.run(4.0, 8.0)
@@ -304,7 +306,7 @@
         site.backend.rate = None
         site.run(3.0, 8.0)
         assert all(daemon.server.throttle is None for daemon in site.daemons.values())
-        eventlet.sleep(2 * LOAN_SECONDS)
+        eventlet.sleep(2 * GRANT_SECONDS)
         before = site.messages
         eventlet.sleep(60.0)
         assert site.messages == before
@@ -359,18 +361,18 @@
     def scenario() -> None:
         site = Site(2, 1.0)
         site.run(5.0, 4.0)
-        daemon, server = next((d, d.server) for d in site.daemons.values() if d is not site.keeper())
+        daemon, server = next((d, d.server) for d in site.daemons.values() if d is not site.owner())
         eventlet.sleep(3.0)
-        daemon.limits.want([server])
+        daemon.limits.request_tokens([server])
         eventlet.sleep(0.1)
         assert server.usable(now())
-        eventlet.sleep(LOAN_SECONDS)
+        eventlet.sleep(GRANT_SECONDS)
         assert server.throttle is not None
         assert not server.usable(now())
         assert not server.throttle.take(now())
         # The keeper has it back, and lends it to the next who asks.
-        other = site.keeper()
-        other.limits.want([other.server])
+        other = site.owner()
+        other.limits.request_tokens([other.server])
         eventlet.sleep(0.1)
         assert other.server.usable(now())
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -11,8 +11,8 @@
 from bayglade.entries.wire import LimitNotice
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, Incarnation, MemberId
-from bayglade.quotas import choose_keeper
-from bayglade.rate_limits import REPEAT_SECONDS
+from bayglade.quotas import choose_owner
+from bayglade.rate_limits import ANNOUNCE_SECONDS
 from bayglade.servers import Server
 from tests.server_rows import BORN, facts_of
 
@@ -36,7 +36,7 @@
     fleet, told = Fleet(), []
     fleet.take([facts_of()], [], outage=False)
     fleet.rate_limits.me = MemberId(name)
-    fleet.rate_limits.on_news = told.extend
+    fleet.rate_limits.on_update = told.extend
     return fleet, fleet.servers[ID], told
 
 
@@ -46,11 +46,11 @@
 
 def test_an_answer_ends_a_limit_only_if_its_request_went_out_after_that_was_named(clock: Clock) -> None:
     fleet, server, told = listed()
-    fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
+    fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     clock.at += 1.0
-    fleet.rate_limits.answered(server, None, 99.9, SOURCE)
+    fleet.rate_limits.note_answer(server, None, 99.9, SOURCE)
     assert rate_of(server) == 2.0
-    fleet.rate_limits.answered(server, None, 100.5, SOURCE)
+    fleet.rate_limits.note_answer(server, None, 100.5, SOURCE)
     assert rate_of(server) is None
     assert server.usable(clock.at)
     assert [notice.rate for notice in told] == [2.0, None]
@@ -58,8 +58,8 @@
 
 def test_a_limit_that_holds_on_is_told_again_and_no_more_often(clock: Clock) -> None:
     fleet, server, told = listed()
-    for _ in range(int(4 * REPEAT_SECONDS)):
-        fleet.rate_limits.answered(server, 2.0, clock.at, SOURCE)
+    for _ in range(int(4 * ANNOUNCE_SECONDS)):
+        fleet.rate_limits.note_answer(server, 2.0, clock.at, SOURCE)
         clock.at += 1.0
     assert len(told) == 4
 
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("outage", [False, True])
 def test_a_limit_outlasts_the_row_of_its_server(clock: Clock, outage: bool) -> None:
     fleet, server, _ = listed()
-    fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
+    fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     fleet.take([], [ID], outage)
     fleet.drop_lapsed()
     fleet.take([facts_of(seq=2)], [], outage=False)
@@ -77,19 +77,19 @@
 
 def test_a_new_start_has_no_limit_and_old_notices_say_nothing_of_it(clock: Clock) -> None:
     fleet, server, _ = listed()
-    fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
+    fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     fleet.take([facts_of(born=BORN + 1)], [], outage=False)
     again = fleet.servers[ID]
     assert again.usable(clock.at)
     old = LimitNotice(ID, MemberId("d1"), Incarnation(BORN), 1, 2.0, 0.0)
-    assert fleet.rate_limits.heard([old]) == []
+    assert fleet.rate_limits.merge_notices([old]) == []
     assert again.usable(clock.at)
 
 
 def test_a_server_with_a_limit_is_well(clock: Clock) -> None:
     fleet, server, _ = listed()
     changed = fleet.changed
-    fleet.rate_limits.answered(server, 0.0, 99.0, SOURCE)
+    fleet.rate_limits.note_answer(server, 0.0, 99.0, SOURCE)
     assert server.sound(clock.at)
     assert server.placed(clock.at)
     assert not server.ended(clock.at)
@@ -100,7 +100,7 @@
 
 def test_what_was_lent_is_used_once_or_given_back(clock: Clock) -> None:
     fleet, server, _ = listed()
-    fleet.rate_limits.answered(server, 2.0, 99.0, SOURCE)
+    fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     assert server.throttle is not None
     server.throttle.lent(clock.at + 1.0)
     assert server.usable(clock.at)
@@ -115,10 +115,10 @@
 def test_keepers_of_many_servers_are_spread() -> None:
     members = [MemberId(f"d{n}") for n in range(8)]
     keys = [facts_of(f"s{n}").key for n in range(400)]
-    kept = [choose_keeper(key, members) for key in keys]
+    kept = [choose_owner(key, members) for key in keys]
     assert all(20 <= kept.count(member) <= 90 for member in members)
     # Who leaves changes the keepers of its own servers only.
-    left = [choose_keeper(key, members[1:]) for key in keys]
+    left = [choose_owner(key, members[1:]) for key in keys]
     assert all(after == before for before, after in zip(kept, left, strict=True) if before != members[0])
 
 
@@ -131,7 +131,7 @@
         self.messages = 0
         for number in range(count):
             fleet, _, _ = listed(f"d{number}")
-            fleet.rate_limits.on_news = self._teller(number)
+            fleet.rate_limits.on_update = self._teller(number)
             self.fleets.append(fleet)
 
     def _teller(self, sender: int) -> Callable[[list[LimitNotice]], None]:
@@ -145,7 +145,7 @@
 
     def deliver(self, place: int) -> None:
         number, notices = self.on_way.pop(place % len(self.on_way))
-        if news := self.fleets[number].rate_limits.heard(notices):
+        if news := self.fleets[number].rate_limits.merge_notices(notices):
             self.tell(number, news)
 
 
@@ -163,7 +163,7 @@
         for number, rate, delivered in answers:
             clock.at += 0.01
             fleet = daemons.fleets[number]
-            fleet.rate_limits.answered(fleet.servers[ID], rate, clock.at, SOURCE)
+            fleet.rate_limits.note_answer(fleet.servers[ID], rate, clock.at, SOURCE)
             for step in range(min(delivered, len(daemons.on_way))):
                 clock.at += 0.001
                 daemons.deliver(order[step % len(order)])
@@ -176,7 +176,7 @@
         assert daemons.messages <= 12 * len(answers)
         clock.at += 1.0
         last = daemons.fleets[0]
-        last.rate_limits.answered(last.servers[ID], 2.0, clock.at, SOURCE)
+        last.rate_limits.note_answer(last.servers[ID], 2.0, clock.at, SOURCE)
         while daemons.on_way:
             clock.at += 0.001
             daemons.deliver(0)
--- a/tests/test_totals.py
+++ b/tests/test_totals.py
@@ -6,7 +6,7 @@
 from bayglade.entries.wire import Heartbeat, ServerLoad
 from bayglade.ids import BackendId, HallName, MemberId, Revision, ServerKey
 from bayglade.readers import Order, make_plan, streams_of
-from bayglade.totals import FRESH_SECONDS, UNHEARD_SECONDS, Totals
+from bayglade.totals import REPORT_MAX_AGE_SECONDS, STARTUP_SECONDS, LoadTotals
 
 HALLS = {MemberId(f"{hall}{n:02}"): HallName(hall) for hall in "ab" for n in range(10)}
 
@@ -30,26 +30,28 @@
     return next(iter(PLANS.values())).readers[HallName(hall)]
 
 
-def assigned() -> dict[MemberId, Totals]:
+def assigned() -> dict[MemberId, LoadTotals]:
     """Return the totals of daemons that started some time ago."""
-    everybody = {name: Totals(name) for name in HALLS}
+    everybody = {name: LoadTotals(name) for name in HALLS}
     for name, each in everybody.items():
-        each.started_at -= UNHEARD_SECONDS
+        each.started_at -= STARTUP_SECONDS
         each.assign(HALLS, PLANS[name].readers)
     return everybody
 
 
-def rounds(everybody: dict[MemberId, Totals], own: dict[MemberId, list[ServerLoad]], count: int) -> None:
+def rounds(
+    everybody: dict[MemberId, LoadTotals], own: dict[MemberId, list[ServerLoad]], count: int
+) -> None:
     """Let daemons beat to whom they have streams."""
     order = Order(HALLS)
     for _ in range(count):
         for name, each in everybody.items():
-            each.add_up(own[name])
+            each.update_sums(own[name])
         for name, each in everybody.items():
             for other in streams_of(name, order, PLANS[name]) & everybody.keys():
                 sums = each.for_member(other)
                 message = beat(loads=sums.own, hall_loads=sums.hall, all_loads=sums.everywhere)
-                everybody[other].hear(name, message)
+                everybody[other].merge_heartbeat(name, message)
 
 
 def test_everybody_learns_the_sum_over_all_halls() -> None:
@@ -58,7 +60,7 @@
     rounds(everybody, own, 3)
     for name, each in everybody.items():
         counts = {f"{hall}-head": 30 - (3 if HALLS[name] == hall else 0) for hall in "ab"}
-        assert each.elsewhere(own[name]) == by_server(counts)
+        assert each.other_daemons(own[name]) == by_server(counts)
 
 
 def test_a_lost_reader_leaves_the_other_one() -> None:
@@ -67,7 +69,7 @@
     del everybody[readers("a")[0]]
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
     rounds(everybody, own, 3)
-    assert everybody[follower].elsewhere(own[follower]) == by_server({"h": 18})
+    assert everybody[follower].other_daemons(own[follower]) == by_server({"h": 18})
 
 
 def test_only_readers_are_told_sums_of_single_daemons() -> None:
@@ -92,23 +94,23 @@
     at = 100.0
     monkeypatch.setattr(totals, "now", lambda: at)
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
-    each = Totals(follower)
-    assert each.elsewhere(loads(h=2)) == {}
+    each = LoadTotals(follower)
+    assert each.other_daemons(loads(h=2)) == {}
     each.assign(HALLS, PLANS[follower].readers)
-    assert each.elsewhere(loads(h=2)) == by_server({"h": 18})
-    at += UNHEARD_SECONDS
-    assert each.elsewhere(loads(h=2)) == {}
+    assert each.other_daemons(loads(h=2)) == by_server({"h": 18})
+    at += STARTUP_SECONDS
+    assert each.other_daemons(loads(h=2)) == {}
 
 
 def test_few_daemons_add_up_what_they_hear(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(totals, "now", lambda: at)
-    each = Totals(MemberId("d0"))
-    each.started_at -= UNHEARD_SECONDS
+    each = LoadTotals(MemberId("d0"))
+    each.started_at -= STARTUP_SECONDS
     each.assign({MemberId(f"d{n}"): HallName("h") for n in range(3)}, {})
-    each.hear(MemberId("d1"), beat(loads=loads(x=2, y=1)))
+    each.merge_heartbeat(MemberId("d1"), beat(loads=loads(x=2, y=1)))
     at += 1.0
-    each.hear(MemberId("d2"), beat(loads=loads(x=3)))
-    assert each.elsewhere(loads(x=9)) == by_server({"x": 5, "y": 1})
-    at += FRESH_SECONDS - 0.5
-    assert each.elsewhere([]) == by_server({"x": 3})
+    each.merge_heartbeat(MemberId("d2"), beat(loads=loads(x=3)))
+    assert each.other_daemons(loads(x=9)) == by_server({"x": 5, "y": 1})
+    at += REPORT_MAX_AGE_SECONDS - 0.5
+    assert each.other_daemons([]) == by_server({"x": 3})
