--- a/bayglade/diagnosis.py
+++ b/bayglade/diagnosis.py
@@ -115,8 +115,7 @@
         return dead | self.probe(named) if named else dead
 
     def result_of(self, server: Server) -> "ProbeResult":
-        """Return the last result for a server; an empty one if it has restarted since, or wasn't
-        probed."""
+        """Return the last result for a server; empty if it has restarted since or wasn't probed."""
         known = self.results.get(server.facts.id)
         if known is None or self.fleet.servers.get(server.facts.id, server) is not server:
             return ProbeResult(None)
--- a/bayglade/quarantine.py
+++ b/bayglade/quarantine.py
@@ -3,9 +3,9 @@
 A request that crashes a server takes down everything else running there for seconds, and clients retry
 it under a new id, at any daemon. Crashes are therefore counted by request content (see
 :mod:`bayglade.fingerprints`) and by server incarnation, over all daemons. The set of (fingerprint,
-    incarnation) pairs only grows; daemons exchange additions and may merge them in any order. A request
-    is stopped once enough incarnations have crashed while running it. Stops are also stored in the
-    platform's store, so that daemons that start later know them.
+incarnation) pairs only grows; daemons exchange additions and may merge them in any order. A request is
+stopped once enough incarnations have crashed while running it. Stops are also stored in the platform's
+store, so that daemons that start later know them.
 """
 
 import random
@@ -63,8 +63,7 @@
 
 
 class CrashTimes(msgspec.Struct, frozen=True):
-    """When this daemon first and last learned that a server incarnation has ended, in monotonic
-    seconds."""
+    """When a daemon first and last learned that a server incarnation has ended, in monotonic seconds."""
 
     first_at: float
     last_at: float
@@ -232,8 +231,10 @@
         self.on_interrupted(Crash(fingerprint, *server_key))
 
     def mass_crash(self, call: Call) -> bool:
-        """Tell whether several servers crashed just now, apart from those that this call is suspected
-        of, which indicates another cause."""
+        """Tell whether several servers crashed just now that this call isn't suspected of.
+
+        They indicate another cause.
+        """
         oldest = now() - COMMON_CAUSE_SECONDS
         evidence = self._evidence_for(call)
         under_it = evidence.crashed_on if evidence is not None else frozenset()
@@ -260,8 +261,8 @@
         self._publish([crash for crash in fresh if crash.fingerprint in suspects])
 
     def server_alive(self, server_key: ServerKey, asked_at: float) -> None:
-        """Record that a server incarnation responded: interruptions there before weren't caused by its
-        crash.
+        """Record that a server incarnation responded: it wasn't its crash that interrupted calls
+        before.
 
         :param server_key: the server incarnation.
         :param asked_at: when the request to which it responded was sent.
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -13,7 +13,7 @@
 from bayglade.ids import BackendId, Incarnation
 from bayglade.quarantine import Quarantine
 from bayglade.servers import Server, ServerFacts
-from tests.test_quarantine import call
+from tests.test_quarantine import make_call
 from tests.test_tiling import SERVICE
 
 FACTS = ServerFacts(
@@ -37,14 +37,16 @@
         self.diagnosis: Any = SimpleNamespace()
         self.quarantine = Quarantine(b"key", random.Random(1))
         watch_ends(self.fleet, self.links, self.diagnosis, self.quarantine)
-        self.quarantine.note_interrupted(call(), FACTS.key, None)
+        self.quarantine.note_interrupted(make_call(), FACTS.key, None)
 
     @property
     def server(self) -> Server:
         return self.fleet.servers[FACTS.id]
 
     def ended(self) -> bool:
-        return self.quarantine.is_suspect(call()) and not self.quarantine.unconfirmed_servers(call())
+        return self.quarantine.is_suspect(make_call()) and not self.quarantine.unconfirmed_servers(
+            make_call()
+        )
 
 
 @pytest.fixture
@@ -92,6 +94,6 @@
 
 def test_a_report_shows_that_it_lives(scene: Scene) -> None:
     scene.diagnosis.on_answer(scene.server, float("inf"))
-    assert not scene.quarantine.is_suspect(call())
+    assert not scene.quarantine.is_suspect(make_call())
     scene.links.on_refused(FACTS.id, FACTS.address)
-    assert not scene.quarantine.is_suspect(call())
+    assert not scene.quarantine.is_suspect(make_call())
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests under which servers ended: what counts as an end, what clears it, and how daemons agree."""
+"""Requests that crash servers: what counts as a crash, what clears a request, and how daemons agree."""
 
 import random
 from typing import Any
@@ -33,7 +33,7 @@
 
 
 class Clock:
-    """Time as a test sets it."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.at = 1000.0
@@ -49,11 +49,11 @@
     return made
 
 
-def make() -> Quarantine:
+def make_quarantine() -> Quarantine:
     return Quarantine(KEY, random.Random(1))
 
 
-def call(body: bytes = b"question", **changes: Any) -> Call:
+def make_call(body: bytes = b"question", **changes: Any) -> Call:
     values: dict[str, Any] = {
         "head": CallHead(id=RequestId("r"), host="site.example"),
         "endpoint": None,
@@ -71,172 +71,174 @@
     return Call(**values)
 
 
-def start(number: int) -> ServerKey:
+def server_key(number: int) -> ServerKey:
     return ServerKey(BackendId(f"i-{number}"), Incarnation(number + 1))
 
 
-def end_under(quarantine: Quarantine, asked: Call, numbers: range) -> None:
+def crash_servers(quarantine: Quarantine, request: Call, numbers: range) -> None:
     for number in numbers:
-        quarantine.note_interrupted(asked, start(number), None)
-        quarantine.server_ended(start(number))
+        quarantine.note_interrupted(request, server_key(number), None)
+        quarantine.server_ended(server_key(number))
 
 
-def test_three_ends_stop_a_request_and_it_says_so() -> None:
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(CRASHES_TO_STOP - 1))
-    quarantine.check(asked)
-    end_under(quarantine, asked, range(CRASHES_TO_STOP - 1, CRASHES_TO_STOP))
+def test_three_crashes_stop_a_request_with_an_error() -> None:
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP - 1))
+    quarantine.check(request)
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP - 1, CRASHES_TO_STOP))
     with pytest.raises(RequestStopped, match="3 servers ended") as caught:
-        quarantine.check(call(head=CallHead(id=RequestId("another"), host="SITE.example")))
+        quarantine.check(make_call(head=CallHead(id=RequestId("another"), host="SITE.example")))
     assert caught.value.retry_after is not None
-    quarantine.check(call(b"another question"))
+    quarantine.check(make_call(b"another question"))
 
 
 @pytest.mark.parametrize(
     "changes",
     [{"group": GroupPath("other")}, {"target": b"/y"}, {"method": "GET"}, {"body": b""}, {"group": None}],
 )
-def test_what_is_asked_names_a_request(changes: dict[str, Any]) -> None:
-    assert fingerprint_of(call(**changes), KEY) != fingerprint_of(call(), KEY)
+def test_fingerprint_depends_on_all_content(changes: dict[str, Any]) -> None:
+    assert fingerprint_of(make_call(**changes), KEY) != fingerprint_of(make_call(), KEY)
 
 
-def test_parts_do_not_run_into_each_other() -> None:
-    assert fingerprint_of(call(b"bc", target=b"/a"), KEY) != fingerprint_of(call(b"c", target=b"/ab"), KEY)
+def test_fingerprint_separates_target_and_body() -> None:
+    assert fingerprint_of(make_call(b"bc", target=b"/a"), KEY) != fingerprint_of(
+        make_call(b"c", target=b"/ab"), KEY
+    )
 
 
-def test_the_name_tells_nothing_without_the_key() -> None:
-    assert fingerprint_of(call(), KEY) != fingerprint_of(call(), b"another key")
+def test_fingerprint_depends_on_the_key() -> None:
+    assert fingerprint_of(make_call(), KEY) != fingerprint_of(make_call(), b"another key")
 
 
-def test_one_start_counts_once_whoever_tells() -> None:
-    quarantine, asked = make(), call()
-    name = quarantine.fingerprint_for(asked)
+def test_an_incarnation_counts_once_whoever_reports_it() -> None:
+    quarantine, request = make_quarantine(), make_call()
+    name = quarantine.fingerprint_for(request)
     for _ in range(5):
-        quarantine.note_interrupted(asked, start(1), None)
-        quarantine.server_ended(start(1))
-        quarantine.merge_crashes([Crash(name, *start(1))], [])
-    assert quarantine.evidence[name].crashed_on == {start(1)}
+        quarantine.note_interrupted(request, server_key(1), None)
+        quarantine.server_ended(server_key(1))
+        quarantine.merge_crashes([Crash(name, *server_key(1))], [])
+    assert quarantine.evidence[name].crashed_on == {server_key(1)}
 
 
-def test_a_later_start_of_the_same_server_counts_anew() -> None:
-    quarantine, asked = make(), call()
+def test_a_later_incarnation_of_a_server_counts_again() -> None:
+    quarantine, request = make_quarantine(), make_call()
     for born in range(CRASHES_TO_STOP):
         again = ServerKey(BackendId("i"), Incarnation(born + 1))
-        quarantine.note_interrupted(asked, again, None)
+        quarantine.note_interrupted(request, again, None)
         quarantine.server_ended(again)
-    assert quarantine.is_stopped(asked)
+    assert quarantine.is_stopped(request)
 
 
-def test_a_break_alone_is_no_end() -> None:
-    quarantine, asked = make(), call()
+def test_an_interruption_alone_is_no_crash() -> None:
+    quarantine, request = make_quarantine(), make_call()
     for number in range(10):
-        quarantine.note_interrupted(asked, start(number), None)
-        quarantine.server_alive(start(number), float("inf"))
-        quarantine.server_ended(start(number))
+        quarantine.note_interrupted(request, server_key(number), None)
+        quarantine.server_alive(server_key(number), float("inf"))
+        quarantine.server_ended(server_key(number))
     assert not quarantine.evidence
 
 
-def test_an_answer_to_an_earlier_question_says_nothing_of_a_break(clock: Clock) -> None:
-    quarantine, asked = make(), call()
+def test_a_response_to_an_earlier_probe_does_not_clear_an_interruption(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
     asked_at = clock.at
     clock.at += 0.01
-    quarantine.note_interrupted(asked, start(1), None)
-    quarantine.server_alive(start(1), asked_at)
-    quarantine.server_ended(start(1))
+    quarantine.note_interrupted(request, server_key(1), None)
+    quarantine.server_alive(server_key(1), asked_at)
+    quarantine.server_ended(server_key(1))
     assert quarantine.evidence
 
 
-def test_an_end_long_after_the_break_is_another_matter(clock: Clock) -> None:
-    quarantine, asked = make(), call()
-    quarantine.note_interrupted(asked, start(1), None)
+def test_a_crash_long_after_the_interruption_does_not_count(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
+    quarantine.note_interrupted(request, server_key(1), None)
     clock.at += UNCONFIRMED_SECONDS + 0.1
     quarantine.tidy()
-    quarantine.server_ended(start(1))
+    quarantine.server_ended(server_key(1))
     assert not quarantine.evidence
 
 
-def test_a_break_that_is_noticed_after_the_end_counts(clock: Clock) -> None:
-    quarantine, asked = make(), call()
-    quarantine.server_ended(start(1))
+def test_an_interruption_noticed_after_the_crash_counts(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
+    quarantine.server_ended(server_key(1))
     clock.at += 0.1
-    quarantine.note_interrupted(asked, start(1), None)
-    assert quarantine.evidence[quarantine.fingerprint_for(asked)].crashed_on == {start(1)}
+    quarantine.note_interrupted(request, server_key(1), None)
+    assert quarantine.evidence[quarantine.fingerprint_for(request)].crashed_on == {server_key(1)}
 
 
-def test_a_server_that_had_ended_before_did_not_end_under_a_request(clock: Clock) -> None:
-    """Half of all servers ended within 0.1 s. A harmless stream was cut by two first stages; 0.15 s after
-    its third stage had refused a connection it was sent on over that stage, stood still for 0.8 s, and was
-    held back for an hour:
+def test_a_crash_before_the_request_was_sent_does_not_count(clock: Clock) -> None:
+    """A stream isn't stopped for a server that had ended before the stream was sent there.
 
-        899.689  server not reached  i-0-2  ECONNREFUSED
-        900.604  server not reached  i-0-2  ECONNREFUSED
-        900.612  request stopped  servers ended  i-0-0 i-0-2 i-1-0
+    Half of all servers crashed within 0.1 s. A harmless stream was interrupted by two first stages. It
+    was sent on over a third stage that had refused a connection 0.15 s before, stalled for 0.8 s, and
+    was stopped for an hour as if that stage had crashed under it.
     """
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(CRASHES_TO_STOP - 1))
-    last = start(CRASHES_TO_STOP)
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP - 1))
+    last = server_key(CRASHES_TO_STOP)
     quarantine.server_ended(last)
     clock.at += 0.15
     sent_at = clock.at
     clock.at += 0.8
-    # Its address refuses once more: that is no later end.
+    # The address refuses another connection: that is no later crash.
     quarantine.server_ended(last)
-    quarantine.note_interrupted(asked, last, None, sent_at)
-    assert not quarantine.is_stopped(asked)
-    quarantine.note_interrupted(asked, start(CRASHES_TO_STOP + 1), None, sent_at)
-    quarantine.server_ended(start(CRASHES_TO_STOP + 1))
-    assert quarantine.is_stopped(asked)
+    quarantine.note_interrupted(request, last, None, sent_at)
+    assert not quarantine.is_stopped(request)
+    quarantine.note_interrupted(request, server_key(CRASHES_TO_STOP + 1), None, sent_at)
+    quarantine.server_ended(server_key(CRASHES_TO_STOP + 1))
+    assert quarantine.is_stopped(request)
 
 
-def test_a_stream_that_ran_for_a_while_did_not_end_its_server(clock: Clock) -> None:
-    quarantine, asked = make(), call()
-    quarantine.note_interrupted(asked, start(1), clock.at - SUSPECT_RUN_SECONDS - 0.01)
-    quarantine.server_ended(start(1))
+def test_a_stream_that_ran_for_a_while_is_no_suspect(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
+    quarantine.note_interrupted(request, server_key(1), clock.at - SUSPECT_RUN_SECONDS - 0.01)
+    quarantine.server_ended(server_key(1))
     assert not quarantine.evidence
-    quarantine.note_interrupted(asked, start(2), clock.at - SUSPECT_RUN_SECONDS / 2)
-    quarantine.server_ended(start(2))
+    quarantine.note_interrupted(request, server_key(2), clock.at - SUSPECT_RUN_SECONDS / 2)
+    quarantine.server_ended(server_key(2))
     assert quarantine.evidence
 
 
-def test_a_whole_answer_clears_a_request_everywhere() -> None:
-    here, there, asked = make(), make(), call()
-    told: list[tuple[list[Crash], list[Fingerprint]]] = []
-    here.on_update = lambda crashes, cleared: told.append((crashes, cleared))
-    end_under(here, asked, range(2))
-    there.merge_crashes([Crash(here.fingerprint_for(asked), *start(n)) for n in range(2)], [])
-    here.note_answered(asked)
-    assert there.merge_crashes(*told[-1]) == ([], [here.fingerprint_for(asked)])
-    # Late word of the same ends changes nothing, and new ones count from none.
-    there.merge_crashes([Crash(here.fingerprint_for(asked), *start(n)) for n in range(2)], [])
-    end_under(there, asked, range(2, 4))
-    assert not there.is_stopped(asked)
-    end_under(there, asked, range(4, 5))
-    assert there.is_stopped(asked)
-
-
-def test_ends_are_forgotten_in_time(clock: Clock) -> None:
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(2))
+def test_a_complete_answer_clears_a_request_everywhere() -> None:
+    here, there, request = make_quarantine(), make_quarantine(), make_call()
+    reports: list[tuple[list[Crash], list[Fingerprint]]] = []
+    here.on_update = lambda crashes, cleared: reports.append((crashes, cleared))
+    crash_servers(here, request, range(2))
+    there.merge_crashes([Crash(here.fingerprint_for(request), *server_key(n)) for n in range(2)], [])
+    here.note_answered(request)
+    assert there.merge_crashes(*reports[-1]) == ([], [here.fingerprint_for(request)])
+    # Late reports of the same crashes change nothing, and new crashes are counted from zero.
+    there.merge_crashes([Crash(here.fingerprint_for(request), *server_key(n)) for n in range(2)], [])
+    crash_servers(there, request, range(2, 4))
+    assert not there.is_stopped(request)
+    crash_servers(there, request, range(4, 5))
+    assert there.is_stopped(request)
+
+
+def test_crashes_expire(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(2))
     clock.at += SUSPECT_SECONDS + 0.1
     quarantine.tidy()
     assert not quarantine.evidence
 
 
-def test_memory_is_bounded_and_stops_stay() -> None:
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(CRASHES_TO_STOP))
+def test_memory_is_bounded_and_stops_are_kept() -> None:
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP))
     for number in range(MAX_SUSPECTS * 2):
-        end_under(quarantine, call(b"%d" % number), range(number + 10, number + 11))
+        crash_servers(quarantine, make_call(b"%d" % number), range(number + 10, number + 11))
     assert len(quarantine.evidence) == MAX_SUSPECTS
-    assert quarantine.is_stopped(asked)
+    assert quarantine.is_stopped(request)
 
 
-def test_a_table_full_of_stops_makes_room_for_the_newest(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_table_evicts_the_oldest_stops(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(quarantine_module, "MAX_SUSPECTS", 2)
-    quarantine = make()
+    quarantine = make_quarantine()
     for number in range(4):
-        end_under(quarantine, call(b"%d" % number), range(10 * number, 10 * number + CRASHES_TO_STOP))
-    assert [quarantine.is_stopped(call(b"%d" % number)) for number in range(4)] == [
+        crash_servers(
+            quarantine, make_call(b"%d" % number), range(10 * number, 10 * number + CRASHES_TO_STOP)
+        )
+    assert [quarantine.is_stopped(make_call(b"%d" % number)) for number in range(4)] == [
         False,
         False,
         True,
@@ -244,60 +246,64 @@
     ]
 
 
-def test_a_stop_that_the_store_did_not_take_lasts_as_long(clock: Clock) -> None:
-    quarantine, asked = stopped(clock)
+def test_a_stop_that_could_not_be_stored_lasts_as_long(clock: Clock) -> None:
+    quarantine, request = stopped_quarantine(clock)
     clock.at += STOP_SECONDS - 1.0
     quarantine.tidy()
-    assert quarantine.is_stopped(asked)
+    assert quarantine.is_stopped(request)
     clock.at += 2.0
     quarantine.tidy()
-    assert not quarantine.is_stopped(asked)
+    assert not quarantine.is_stopped(request)
 
 
-def test_nothing_is_worked_out_while_nothing_is_known(monkeypatch: pytest.MonkeyPatch) -> None:
-    quarantine, asked = make(), call()
+def test_no_fingerprint_is_computed_without_evidence(monkeypatch: pytest.MonkeyPatch) -> None:
+    quarantine, request = make_quarantine(), make_call()
 
     def fail(*_: object) -> Fingerprint:
-        raise AssertionError("a calm daemon names no request")
+        raise AssertionError("a daemon without evidence computes no fingerprint")
 
     monkeypatch.setattr(quarantine_module, "fingerprint_of", fail)
-    quarantine.check(asked)
-    quarantine.note_sent(asked, BackendId("i"))
-    quarantine.note_answered(asked)
-    assert quarantine.resend_delay(asked) == 0.0
-    assert not quarantine.is_suspect(asked)
+    quarantine.check(request)
+    quarantine.note_sent(request, BackendId("i"))
+    quarantine.note_answered(request)
+    assert quarantine.resend_delay(request) == 0.0
+    assert not quarantine.is_suspect(request)
 
 
 @given(st.lists(st.integers(0, 5), max_size=12), st.randoms(use_true_random=False))
-def test_daemons_agree_in_whatever_order_they_hear(numbers: list[int], rng: random.Random) -> None:
-    name = fingerprint_of(call(), KEY)
-    crashes = [Crash(name, *start(number)) for number in numbers]
-    one, other = make(), make()
+def test_daemons_agree_whatever_the_order_of_reports(numbers: list[int], rng: random.Random) -> None:
+    name = fingerprint_of(make_call(), KEY)
+    crashes = [Crash(name, *server_key(number)) for number in numbers]
+    one, other = make_quarantine(), make_quarantine()
     one.merge_crashes(crashes, [])
     rng.shuffle(crashes)
     for crash in crashes:
         other.merge_crashes([crash], [])
-    assert one.is_stopped(call()) == other.is_stopped(call()) == (len(set(numbers)) >= CRASHES_TO_STOP)
-
-
-def test_words_die_out_among_daemons_that_all_tell_each_other() -> None:
-    daemons = [make() for _ in range(30)]
-    name = fingerprint_of(call(), KEY)
-    waiting: list[tuple[Quarantine, list[Crash]]] = [(daemons[0], [Crash(name, *start(1))])]
-    told = 0
+    assert (
+        one.is_stopped(make_call())
+        == other.is_stopped(make_call())
+        == (len(set(numbers)) >= CRASHES_TO_STOP)
+    )
+
+
+def test_reports_do_not_circulate_forever() -> None:
+    daemons = [make_quarantine() for _ in range(30)]
+    name = fingerprint_of(make_call(), KEY)
+    waiting: list[tuple[Quarantine, list[Crash]]] = [(daemons[0], [Crash(name, *server_key(1))])]
+    receivers = 0
     while waiting:
         to, crashes = waiting.pop()
         fresh, _ = to.merge_crashes(crashes, [])
         if fresh:
-            told += 1
+            receivers += 1
             waiting += [(other, fresh) for other in daemons if other is not to]
-    assert told == len(daemons)
+    assert receivers == len(daemons)
 
 
-def test_suspects_are_kept_apart(clock: Clock) -> None:
-    quarantine, one, other = make(), call(b"one"), call(b"other")
-    for asked in (one, other):
-        quarantine.note_interrupted(asked, start(1), None)
+def test_suspects_are_isolated_from_each_other(clock: Clock) -> None:
+    quarantine, one, other = make_quarantine(), make_call(b"one"), make_call(b"other")
+    for request in (one, other):
+        quarantine.note_interrupted(request, server_key(1), None)
     quarantine.note_sent(one, BackendId("i-2"))
     assert quarantine.servers_on_trial(other) == {"i-2"}
     assert quarantine.servers_on_trial(one) == frozenset()
@@ -305,191 +311,192 @@
     assert quarantine.servers_on_trial(other) == frozenset()
 
 
-def test_servers_that_end_together_show(clock: Clock) -> None:
-    quarantine = make()
+def test_servers_that_crash_together_are_detected(clock: Clock) -> None:
+    quarantine = make_quarantine()
     for number in range(MASS_CRASH_COUNT):
-        assert not quarantine.mass_crash(call())
-        quarantine.server_ended(start(number))
-    assert quarantine.mass_crash(call())
+        assert not quarantine.mass_crash(make_call())
+        quarantine.server_ended(server_key(number))
+    assert quarantine.mass_crash(make_call())
     clock.at += COMMON_CAUSE_SECONDS + 0.01
-    assert not quarantine.mass_crash(call())
+    assert not quarantine.mass_crash(make_call())
 
 
-def test_servers_that_ended_under_a_request_are_no_cause_of_their_own() -> None:
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(MASS_CRASH_COUNT))
-    assert not quarantine.mass_crash(asked)
-    assert quarantine.mass_crash(call(b"another"))
+def test_crashes_of_a_request_are_no_mass_crash_for_it() -> None:
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(MASS_CRASH_COUNT))
+    assert not quarantine.mass_crash(request)
+    assert quarantine.mass_crash(make_call(b"another"))
 
 
-def test_a_second_end_waits_for_word() -> None:
-    quarantine, asked = make(), call()
-    quarantine.note_interrupted(asked, start(1), None)
-    assert quarantine.resend_delay(asked) == 0.0
-    quarantine.server_ended(start(1))
-    quarantine.note_interrupted(asked, start(2), None)
-    assert quarantine.resend_delay(asked) > 0.0
+def test_a_second_crash_delays_the_next_attempt() -> None:
+    quarantine, request = make_quarantine(), make_call()
+    quarantine.note_interrupted(request, server_key(1), None)
+    assert quarantine.resend_delay(request) == 0.0
+    quarantine.server_ended(server_key(1))
+    quarantine.note_interrupted(request, server_key(2), None)
+    assert quarantine.resend_delay(request) > 0.0
 
 
-def stopped(clock: Clock) -> tuple[Quarantine, Call]:
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(CRASHES_TO_STOP))
-    return quarantine, asked
+def stopped_quarantine(clock: Clock) -> tuple[Quarantine, Call]:
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP))
+    return quarantine, request
 
 
-def asked_by_many(
+def answer_before_crash_reports(
     clock: Clock, answered: Quarantine, others: list[Quarantine]
 ) -> list[tuple[list[Crash], list[Fingerprint]]]:
-    """Have one question of many callers be answered by one daemon after the others saw servers end."""
-    told: list[tuple[list[Crash], list[Fingerprint]]] = []
-    answered.on_update = lambda crashes, cleared: told.append((crashes, cleared))
+    """Have one daemon answer a request of many clients after servers interrupted it at the other
+    daemons."""
+    reports: list[tuple[list[Crash], list[Fingerprint]]] = []
+    answered.on_update = lambda crashes, cleared: reports.append((crashes, cleared))
     for number, other in enumerate(others):
-        other.note_interrupted(call(), start(number), None)
+        other.note_interrupted(make_call(), server_key(number), None)
     clock.at += 0.1
-    answered.server_ended(start(9))
-    answered.note_answered(call())
-    return told
+    answered.server_ended(server_key(9))
+    answered.note_answered(make_call())
+    return reports
 
 
-def test_a_question_of_many_callers_is_cleared_by_an_answer_to_one_of_them(clock: Clock) -> None:
-    daemons = [make() for _ in range(4)]
-    told = asked_by_many(clock, daemons[0], daemons[1:])
+def test_a_request_of_many_clients_is_cleared_by_one_answer(clock: Clock) -> None:
+    daemons = [make_quarantine() for _ in range(4)]
+    reports = answer_before_crash_reports(clock, daemons[0], daemons[1:])
     clock.at += 1.0
-    # Word of the ends comes late and all at once, after the answer.
+    # The crashes are reported late and all at once, after the answer.
     for number, daemon in enumerate(daemons[1:]):
-        news: list[Crash] = []
-        daemon.on_update = lambda crashes, cleared, news=news: news.extend(crashes)  # type: ignore[misc]
-        daemon.server_ended(start(number))
+        crashes_here: list[Crash] = []
+        daemon.on_update = lambda crashes, cleared, crashes_here=crashes_here: crashes_here.extend(crashes)  # type: ignore[misc]
+        daemon.server_ended(server_key(number))
         for other in daemons:
             if other is not daemon:
-                other.merge_crashes(news, [])
-    for crashes, cleared in told:
+                other.merge_crashes(crashes_here, [])
+    for crashes, cleared in reports:
         for daemon in daemons[1:]:
             daemon.merge_crashes(crashes, cleared)
-    assert not any(daemon.is_stopped(call()) for daemon in daemons)
+    assert not any(daemon.is_stopped(make_call()) for daemon in daemons)
 
 
-def test_an_answer_before_the_break_clears_nothing(clock: Clock) -> None:
-    here = make()
-    here.server_ended(start(9))
-    here.note_answered(call())
+def test_an_answer_before_the_interruption_clears_nothing(clock: Clock) -> None:
+    here = make_quarantine()
+    here.server_ended(server_key(9))
+    here.note_answered(make_call())
     clock.at += 1.0
-    end_under(here, call(), range(CRASHES_TO_STOP))
-    assert here.is_stopped(call())
+    crash_servers(here, make_call(), range(CRASHES_TO_STOP))
+    assert here.is_stopped(make_call())
 
 
-def test_a_stop_that_an_answer_shows_to_be_wrong_is_lifted(clock: Clock) -> None:
-    (quarantine, asked), store = stopped(clock), Rows()
+def test_a_stop_disproved_by_an_answer_is_lifted(clock: Clock) -> None:
+    (quarantine, request), store = stopped_quarantine(clock), Rows()
     clock.at += ANSWER_GRACE_SECONDS
-    written(quarantine, store)
+    write_stops(quarantine, store)
     rows = stops.read_stops(stop_rows(store))
     quarantine.merge_stored(rows, False)
-    quarantine.note_answered(asked)
-    assert quarantine.take_lifts() == [quarantine.fingerprint_for(asked)]
+    quarantine.note_answered(request)
+    assert quarantine.take_lifts() == [quarantine.fingerprint_for(request)]
     assert quarantine.take_lifts() == []
     # The row is read once more before it is removed.
     quarantine.merge_stored(rows, True)
-    assert not quarantine.is_stopped(asked)
+    assert not quarantine.is_stopped(request)
 
 
 def stop_rows(store: Rows) -> dict[str, msgspec.Raw | None]:
     return {key: row.value for key, row in store.rows.items()}
 
 
-def written(quarantine: Quarantine, store: Rows) -> None:
+def write_stops(quarantine: Quarantine, store: Rows) -> None:
     for name, evidence in quarantine.unwritten():
         stops.write_stop(store, name, evidence.crashed_on)
 
 
 def test_a_stop_outlasts_all_daemons(clock: Clock) -> None:
-    (quarantine, asked), store = stopped(clock), Rows()
+    (quarantine, request), store = stopped_quarantine(clock), Rows()
     clock.at += ANSWER_GRACE_SECONDS
-    written(quarantine, store)
-    again = make()
+    write_stops(quarantine, store)
+    again = make_quarantine()
     again.merge_stored(stops.read_stops(stop_rows(store)), True)
-    assert again.is_stopped(asked)
+    assert again.is_stopped(request)
     assert again.unwritten() == []
     assert read_roster(stop_rows(store), Roster()).members == {}
 
 
 def test_one_daemon_writes_and_others_only_if_it_did_not(clock: Clock) -> None:
-    quarantine, _ = stopped(clock)
+    quarantine, _ = stopped_quarantine(clock)
     assert quarantine.unwritten() == []
     clock.at += ANSWER_GRACE_SECONDS
     assert len(quarantine.unwritten()) == 1
-    told = make()
-    told.merge_crashes([Crash(fingerprint_of(call(), KEY), *start(n)) for n in range(CRASHES_TO_STOP)], [])
-    assert told.unwritten() == []
+    informed = make_quarantine()
+    informed.merge_crashes(
+        [Crash(fingerprint_of(make_call(), KEY), *server_key(n)) for n in range(CRASHES_TO_STOP)], []
+    )
+    assert informed.unwritten() == []
     clock.at += ANSWER_GRACE_SECONDS + WRITE_SPREAD_SECONDS
-    assert len(told.unwritten()) == 1
+    assert len(informed.unwritten()) == 1
 
 
-def test_a_row_that_is_removed_lets_the_request_go(clock: Clock) -> None:
-    (quarantine, asked), store = stopped(clock), Rows()
+def test_removing_the_row_releases_the_request(clock: Clock) -> None:
+    (quarantine, request), store = stopped_quarantine(clock), Rows()
     clock.at += ANSWER_GRACE_SECONDS
-    written(quarantine, store)
+    write_stops(quarantine, store)
     quarantine.merge_stored(stops.read_stops(stop_rows(store)), False)
     assert quarantine.expired() == []
     clock.at += STOP_SECONDS + 1.0
-    assert quarantine.expired() == [quarantine.fingerprint_for(asked)]
+    assert quarantine.expired() == [quarantine.fingerprint_for(request)]
     key = next(iter(store.rows))
     quarantine.merge_stored(stops.read_stops({key: None}), False)
-    assert not quarantine.is_stopped(asked)
+    assert not quarantine.is_stopped(request)
 
 
 @pytest.mark.parametrize("reread", [True, False])
-def test_a_stop_that_is_not_written_yet_stays_when_the_table_is_read_whole(
-    clock: Clock, reread: bool
-) -> None:
-    quarantine, asked = stopped(clock)
+def test_a_stop_not_written_yet_survives_a_full_read(clock: Clock, reread: bool) -> None:
+    quarantine, request = stopped_quarantine(clock)
     if reread:
         quarantine.merge_stored({}, True)
-    assert quarantine.is_stopped(asked)
+    assert quarantine.is_stopped(request)
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"ends": 3}', b'{"ends": [["i"]]}', b"\xff"])
-def test_a_row_that_makes_no_sense_stops_nothing(value: bytes) -> None:
+def test_an_invalid_row_stops_nothing(value: bytes) -> None:
     assert stops.read_stops({stops.STOP_PREFIX + "aa": msgspec.Raw(value)}) == {}
 
 
-def test_a_stop_is_removed_only_as_it_was_read() -> None:
+def test_a_stop_is_not_overwritten() -> None:
     store = Rows()
-    stops.write_stop(store, Fingerprint("aa"), [start(1)])
-    stops.write_stop(store, Fingerprint("aa"), [start(2)])
+    stops.write_stop(store, Fingerprint("aa"), [server_key(1)])
+    stops.write_stop(store, Fingerprint("aa"), [server_key(2)])
     row: Row = next(iter(store.rows.values()))
     assert b"i-1" in bytes(row.value)
 
 
-def test_another_key_forgets_what_was_named_by_the_first() -> None:
-    quarantine, asked = make(), call()
-    end_under(quarantine, asked, range(CRASHES_TO_STOP))
+def test_a_new_key_drops_all_evidence() -> None:
+    quarantine, request = make_quarantine(), make_call()
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP))
     quarantine.use_key(b"of all daemons")
-    assert not quarantine.is_stopped(call())
+    assert not quarantine.is_stopped(make_call())
 
 
-def stored_stop(quarantine: Quarantine, asked: Call) -> dict[Fingerprint, list[ServerKey] | None]:
-    end_under(quarantine, asked, range(CRASHES_TO_STOP))
+def stored_stop(quarantine: Quarantine, request: Call) -> dict[Fingerprint, list[ServerKey] | None]:
+    crash_servers(quarantine, request, range(CRASHES_TO_STOP))
     rows: dict[Fingerprint, list[ServerKey] | None] = {
-        quarantine.fingerprint_for(asked): [start(number) for number in range(CRASHES_TO_STOP)]
+        quarantine.fingerprint_for(request): [server_key(number) for number in range(CRASHES_TO_STOP)]
     }
     quarantine.merge_stored(rows, False)
     return rows
 
 
-def test_a_stop_that_a_restored_store_has_lost_holds_and_is_written_again(clock: Clock) -> None:
-    quarantine, asked = make(), call()
-    stored_stop(quarantine, asked)
+def test_a_stop_lost_by_a_restored_store_is_written_again(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
+    stored_stop(quarantine, request)
     quarantine.merge_stored({}, True, restored=True)
     with pytest.raises(RequestStopped):
-        quarantine.check(asked)
+        quarantine.check(request)
     clock.at += 5.0
-    assert [name for name, _ in quarantine.unwritten()] == [quarantine.fingerprint_for(asked)]
+    assert [name for name, _ in quarantine.unwritten()] == [quarantine.fingerprint_for(request)]
 
 
-def test_a_stop_that_was_lifted_is_not_taken_from_a_restored_store(clock: Clock) -> None:
-    quarantine, asked = make(), call()
-    rows = stored_stop(quarantine, asked)
+def test_a_lifted_stop_is_not_taken_from_a_restored_store(clock: Clock) -> None:
+    quarantine, request = make_quarantine(), make_call()
+    rows = stored_stop(quarantine, request)
     quarantine.merge_stored(dict.fromkeys(rows), False)
     quarantine.merge_stored(rows, True, restored=True)
-    quarantine.check(asked)
+    quarantine.check(request)
     assert quarantine.take_lifts() == list(rows)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Suspects are sent on apart: to servers where no other one has just begun, and not all to the best one."""
+"""Suspects are sent to different servers: one at a time per server, and not all to the best one."""
 
 import random
 from collections import Counter
@@ -14,7 +14,7 @@
 from bayglade.quarantine import TRIAL_SECONDS, Quarantine
 from bayglade.servers import Server
 from bayglade.trials import PROBE_SECONDS, heads_to_avoid, refusing_stages, wait_for_isolated
-from tests.test_quarantine import call, start
+from tests.test_quarantine import make_call, server_key
 from tests.test_tiling import SERVICE, pipeline, placed, servers
 from tests.virtual_time import now, run_virtually
 
@@ -26,7 +26,7 @@
 
 
 class Daemon:
-    """As much of a daemon as chooses first stages."""
+    """The part of a daemon that chooses first stages."""
 
     def __init__(self, seed: int = 1) -> None:
         self.fleet = Fleet()
@@ -38,33 +38,33 @@
         self.heads = [s for s in self.fleet.of(SERVICE) if s.facts.held and s.facts.first == 0]
 
     def suspect(self, body: bytes) -> Any:
-        asked = call(body, service=SERVICE, deadline=now() + 20.0)
-        self.quarantine.note_interrupted(asked, start(1), None)
-        return asked
+        request = make_call(body, service=SERVICE, deadline=now() + 20.0)
+        self.quarantine.note_interrupted(request, server_key(1), None)
+        return request
 
-    def choose(self, asked: Any) -> Server | None:
-        others = heads_to_avoid(self.peers, asked, frozenset())
+    def choose(self, request: Any) -> Server | None:
+        others = heads_to_avoid(self.peers, request, frozenset())
         left = [head for head in self.heads if head.facts.id not in others]
         if len(left) != 1:
             return None
-        self.quarantine.note_sent(asked, left[0].facts.id)
+        self.quarantine.note_sent(request, left[0].facts.id)
         return left[0]
 
 
-def test_an_innocent_looking_call_goes_where_it_is_best() -> None:
+def test_a_call_without_evidence_goes_to_the_best_server() -> None:
     def chosen() -> Server | None:
         daemon = Daemon()
         daemon.suspect(b"another")
-        return daemon.choose(call(service=SERVICE))
+        return daemon.choose(make_call(service=SERVICE))
 
     assert run_virtually(chosen) is None
 
 
-def test_suspects_of_one_daemon_begin_on_servers_of_their_own() -> None:
+def test_suspects_of_one_daemon_go_to_different_servers() -> None:
     def chosen() -> tuple[int, int]:
         daemon = Daemon()
         suspects = [daemon.suspect(b"%d" % number) for number in range(len(daemon.heads))]
-        ids = {head.facts.id for asked in suspects if (head := daemon.choose(asked)) is not None}
+        ids = {head.facts.id for request in suspects if (head := daemon.choose(request)) is not None}
         return len(ids), len(daemon.heads)
 
     found, heads = run_virtually(chosen)
@@ -88,15 +88,15 @@
         for number, head in enumerate(daemon.heads):
             daemon.quarantine.note_sent(daemon.suspect(b"%d" % number), head.facts.id)
         since = now()
-        apart = wait_for_isolated(daemon.peers, daemon.suspect(b"late"), daemon.heads)
-        return now() - since, len(apart)
+        isolated = wait_for_isolated(daemon.peers, daemon.suspect(b"late"), daemon.heads)
+        return now() - since, len(isolated)
 
-    seconds, apart = run_virtually(waited)
-    assert apart > 0
+    seconds, isolated = run_virtually(waited)
+    assert isolated > 0
     assert seconds <= TRIAL_SECONDS + 0.1
 
 
-def test_without_servers_it_does_not_wait() -> None:
+def test_a_suspect_does_not_wait_without_servers() -> None:
     def waited() -> float:
         daemon, since = Daemon(), now()
         assert wait_for_isolated(daemon.peers, daemon.suspect(b"x"), []) == []
@@ -106,17 +106,17 @@
 
 
 class Probes:
-    """Connections that are opened to look whether somebody listens."""
+    """Connections opened to find out whether a server still listens."""
 
-    def __init__(self, daemon: Daemon, ended: set[str], dark: set[str]) -> None:
+    def __init__(self, daemon: Daemon, ended: set[str], unresponsive: set[str]) -> None:
         self.daemon = daemon
         self.ended = ended
-        self.dark = dark
+        self.unresponsive = unresponsive
         self.opened: list[str] = []
 
     def probe(self, backend: Any, address: str) -> bool:
         self.opened.append(backend)
-        if backend in self.dark:
+        if backend in self.unresponsive:
             eventlet.sleep(0.4)
             return False
         server = self.daemon.fleet.servers[backend]
@@ -126,30 +126,30 @@
         return backend not in self.ended
 
 
-@pytest.mark.parametrize(("ends", "looked"), [(0, False), (1, False), (2, True)])
-def test_stages_are_looked_at_before_a_call_that_one_more_end_would_stop(ends: int, looked: bool) -> None:
+@pytest.mark.parametrize(("crashes", "probed"), [(0, False), (1, False), (2, True)])
+def test_stages_are_probed_if_one_more_crash_would_stop_the_call(crashes: int, probed: bool) -> None:
     def found() -> tuple[frozenset[str], int, float]:
         daemon = Daemon()
-        asked = call(service=SERVICE, deadline=now() + 20.0)
-        for number in range(ends):
-            daemon.quarantine.note_interrupted(asked, start(number), None)
-            daemon.quarantine.server_ended(start(number))
+        request = make_call(service=SERVICE, deadline=now() + 20.0)
+        for number in range(crashes):
+            daemon.quarantine.note_interrupted(request, server_key(number), None)
+            daemon.quarantine.server_ended(server_key(number))
         path = [server for server in daemon.fleet.of(SERVICE) if server.facts.held][:4]
         probes = Probes(daemon, {path[2].facts.id}, {path[3].facts.id})
         daemon.peers.links = probes
         examined: list[Server] = []
         daemon.peers.diagnosis = SimpleNamespace(probe_again=examined.extend)
         since = now()
-        gone = refusing_stages(daemon.peers, asked, path)
+        gone = refusing_stages(daemon.peers, request, path)
         seconds = now() - since
-        # What ended before counts no more when the call is sent now and breaks off there.
-        daemon.quarantine.note_interrupted(asked, path[2].facts.key, None, now() + 0.001)
-        assert not daemon.quarantine.is_stopped(asked)
-        assert gone == ({path[2].facts.id} if looked else frozenset())
+        # The earlier crash doesn't count if the call is sent now and interrupted there.
+        daemon.quarantine.note_interrupted(request, path[2].facts.key, None, now() + 0.001)
+        assert not daemon.quarantine.is_stopped(request)
+        assert gone == ({path[2].facts.id} if probed else frozenset())
         eventlet.sleep(0)
-        assert examined == (path[2:3] if looked else [])
+        assert examined == (path[2:3] if probed else [])
         return gone, len(probes.opened), seconds
 
     _, opened, seconds = run_virtually(found)
-    assert opened == (4 if looked else 0)
-    assert seconds <= (PROBE_SECONDS + 0.01 if looked else 0.0)
+    assert opened == (4 if probed else 0)
+    assert seconds <= (PROBE_SECONDS + 0.01 if probed else 0.0)
