--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -22,7 +22,7 @@
 from standins.world import wait_for
 from tests.gateway_callers import Answer, ask
 
-CRASHING, HARMLESS = b"a request that crashes servers", b"a request"
+CRASHING, HARMLESS = b"the question that ends servers", b"a question"
 MAX_CRASHES = 3
 """Servers that may crash under one request before it is stopped."""
 TRIES = 8
@@ -154,7 +154,7 @@
         task.join(10)
     all_back(site)
     for number in range(6):
-        body = b"request %d" % number
+        body = b"question %d" % number
         wait_for("it is served", lambda n=number, body=body: served(daemons[n % 2], body=body))
     assert [line for daemon in daemons for line in daemon.lines("request stopped")] == []
 
@@ -191,7 +191,7 @@
     """Send harmless requests concurrently, and return once their streams have begun."""
     answers: list[Answer] = []
     tasks = [
-        threading.Thread(target=lambda n=n: answers.append(send(daemons[n % 2], b"request %d" % n)))
+        threading.Thread(target=lambda n=n: answers.append(send(daemons[n % 2], b"question %d" % n)))
         for n in range(6)
     ]
     for task in tasks:
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -1,4 +1,4 @@
-"""Diagnosis: which stages are asked, how often, and what others are told."""
+"""Diagnosis: which stages are probed, how often, and what is reported to other daemons."""
 
 import random
 from types import SimpleNamespace
@@ -43,21 +43,21 @@
 
 
 class Stages:
-    """Stages that answer or do not, as told."""
+    """Stages that answer or stay silent as the test sets it."""
 
     def __init__(self, silent: set[str]) -> None:
         self.silent = silent
         self.asked: list[str] = []
         self.stalled: dict[RequestId, str] = {}
         self.held = (ALIVE.first, ALIVE.last)
-        self.silent_when_kept: set[str] = set()
-        """Those that answer on new connections only, for as long as an answer may take."""
+        self.silent_when_idle: set[str] = set()
+        """Stages that stay silent on idle connections until the time limit, and answer on new ones."""
 
     def report(
         self, backend: BackendId, address: str, timeout: float, anew: bool = False
     ) -> StageReport | None:
         self.asked.append(backend)
-        if backend in self.silent_when_kept and not anew:
+        if backend in self.silent_when_idle and not anew:
             eventlet.sleep(timeout)
             return None
         if backend in self.silent:
@@ -66,7 +66,7 @@
         return msgspec.structs.replace(ALIVE, stalled=self.stalled, first=first, last=last)
 
     def reroute(self, backend: BackendId, address: str, request: RequestId, route: Route) -> RerouteOutcome:
-        raise AssertionError("no stream is moved here")
+        raise AssertionError("no stream is rerouted in these tests")
 
 
 def make_diagnosis(silent: set[str], count: int = 4) -> tuple[Diagnosis, Stages, list[Server]]:
@@ -88,32 +88,32 @@
     return Diagnosis(fleet, stages, random.Random(1)), stages, list(fleet.servers.values())  # type: ignore[arg-type]
 
 
-def test_a_stage_that_answers_again_is_told_of_once() -> None:
+def test_a_recovered_stage_is_reported_once() -> None:
     diagnosis, stages, servers = make_diagnosis({"s1"})
-    told: list[str] = []
-    diagnosis.on_back = lambda server: told.append(server.facts.id)
+    reported: list[str] = []
+    diagnosis.on_back = lambda server: reported.append(server.facts.id)
     assert diagnosis.probe(servers) == {"s1"}
     diagnosis.results.clear()
     stages.silent.clear()
     diagnosis.probe_suspects([servers[1]])
     diagnosis.probe_suspects([servers[1]])
-    assert told == ["s1"]
+    assert reported == ["s1"]
     assert not servers[1].suspect
 
 
-def test_a_stage_that_stays_silent_is_not_told_of() -> None:
+def test_a_stage_that_stays_silent_is_not_reported_back() -> None:
     diagnosis, _, servers = make_diagnosis({"s1"})
-    told: list[str] = []
-    diagnosis.on_back = lambda server: told.append(server.facts.id)
+    reported: list[str] = []
+    diagnosis.on_back = lambda server: reported.append(server.facts.id)
     diagnosis.probe(servers)
     diagnosis.results.clear()
     diagnosis.probe_suspects([servers[1]])
-    assert told == []
+    assert reported == []
     assert servers[1].suspect
 
 
 @pytest.mark.parametrize(("daemons", "slowest"), [(1, 0.5), (8, 0.5), (64, 4.0)])
-def test_many_daemons_ask_suspect_stages_less_often_each(
+def test_many_daemons_each_probe_suspect_stages_less_often(
     daemons: int, slowest: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     diagnosis, _, _ = make_diagnosis(set())
@@ -133,14 +133,14 @@
 
 
 class Path:
-    """As much of a path as is looked at here."""
+    """The part of a path that is needed here."""
 
     def __init__(self, servers: list[Server]) -> None:
         self.servers = servers
 
 
 class Peers:
-    """As much of the relay's peers as is looked at here."""
+    """The part of the relay's peers that is needed here."""
 
     def __init__(self, diagnosis: Diagnosis) -> None:
         self.diagnosis = diagnosis
@@ -149,21 +149,21 @@
 CALL: Any = SimpleNamespace(head=SimpleNamespace(id=RequestId("r")))
 
 
-def test_looks_ask_the_first_stage_and_all_others_by_turns() -> None:
+def test_probes_ask_the_first_stage_and_the_others_in_rotation() -> None:
     diagnosis, stages, servers = make_diagnosis(set(), 8)
     for _ in range(4):
         before = len(stages.asked)
-        for finding in diagnosis.results.values():
-            finding.asked_at -= REUSE_SECONDS
+        for result in diagnosis.results.values():
+            result.asked_at -= REUSE_SECONDS
         assert diagnosis.diagnose(servers, RequestId("r")) == frozenset()
         assert len(stages.asked) == before + 1 + STAGES_PER_PROBE
     assert stages.asked.count("s0") == 4
     assert set(stages.asked) == {server.facts.id for server in servers}
 
 
-def test_a_stage_that_the_first_one_names_is_asked_at_once() -> None:
+def test_a_stage_named_by_the_first_is_probed_at_once() -> None:
     diagnosis, stages, servers = make_diagnosis({"s7"}, 8)
-    # Asked last of all, if it were by turns.
+    # In rotation alone it would be probed last.
     diagnosis.results[servers[7].facts.id] = ProbeResult(ALIVE)
     diagnosis.results[servers[7].facts.id].asked_at -= REUSE_SECONDS
     stages.stalled = {RequestId("r"): servers[7].facts.address}
@@ -171,7 +171,7 @@
     assert servers[7].suspect
 
 
-def test_a_slow_stage_is_asked_again_until_it_is_quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_slow_stage_is_probed_until_it_recovers(monkeypatch: pytest.MonkeyPatch) -> None:
     diagnosis, stages, servers = make_diagnosis(set())
     diagnosis.fleet.pace(servers[2], 12.0)
     rounds = iter(range(3))
@@ -187,21 +187,21 @@
     assert servers[2].pace == 1.0
 
 
-def test_stages_that_answer_are_asked_less_and_less(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stages_that_answer_are_probed_less_and_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
     diagnosis, stages, servers = make_diagnosis(set())
     run = Run(Path(servers), Attempts(CALL))  # type: ignore[arg-type]
     at = 100.0
     monkeypatch.setattr(runs, "now", lambda: at)
-    looks = []
+    probed_at = []
     for step in range(40):
         at = 100.0 + step * PATIENCE
         before = len(stages.asked)
         diagnosis.results.clear()
         assert runs.dead_stages(Peers(diagnosis), CALL, run, PATIENCE) == frozenset()  # type: ignore[arg-type]
         if len(stages.asked) > before:
-            looks.append(step)
-    assert looks[:3] == [0, 1, 3]
-    assert len(looks) <= 4 + 40 * PATIENCE / MAX_LOOK_SECONDS
+            probed_at.append(step)
+    assert probed_at[:3] == [0, 1, 3]
+    assert len(probed_at) <= 4 + 40 * PATIENCE / MAX_LOOK_SECONDS
     run.moved_on()
     before = len(stages.asked)
     diagnosis.results.clear()
@@ -209,7 +209,7 @@
     assert len(stages.asked) == before + 1 + STAGES_PER_PROBE
 
 
-def test_a_stage_that_others_found_dead_is_noticed_without_a_question() -> None:
+def test_a_stage_found_dead_by_others_is_noticed_without_a_probe() -> None:
     diagnosis, stages, servers = make_diagnosis(set())
     run = Run(Path(servers), Attempts(CALL))  # type: ignore[arg-type]
     run.look_at = float("inf")
@@ -218,23 +218,19 @@
     assert stages.asked == []
 
 
-def test_many_silent_stages_of_several_looks_are_a_fault_of_this_side() -> None:
+def test_many_silent_stages_in_several_probes_are_a_local_fault() -> None:
     diagnosis, _, servers = make_diagnosis({f"s{n}" for n in range(8)}, 8)
     for server in servers:
         diagnosis.diagnose([server], RequestId("r"))
     suspects = [server for server in servers if server.suspect]
-    # The first ones could as well have ended themselves.
+    # The first ones could just as well have ended themselves.
     assert len(suspects) < LOCAL_FAULT_SILENT
 
 
-def test_stages_that_refuse_connections_are_known_to_be_dead_at_once() -> None:
-    """Half of the stages ended at once; those behind the first were found dead 0.9 s later.
-
-    899.689  server not reached  i-0-2  ECONNREFUSED
-    899.690  stages silent  silent 1  of 2  outcome own fault
-    900.604  server not reached  i-0-2  ECONNREFUSED
-    900.608  server suspect  i-0-2
-    """
+def test_stages_that_refuse_connections_are_found_dead_at_once() -> None:
+    """Half of the stages ended at once, and those behind the first were found dead only 0.9 s later: a
+    first probe with one silent stage of two was taken for a local fault, though the stage refused
+    connections."""
     diagnosis, _, servers = make_diagnosis({f"s{n}" for n in range(4)}, 8)
     for server in servers[:4]:
         server.refused = True
@@ -244,7 +240,7 @@
     assert [server.suspect for server in servers] == [True] * 4 + [False] * 4
 
 
-def test_a_daemon_to_which_nobody_answers_may_be_cut_off_itself() -> None:
+def test_a_daemon_that_gets_no_answer_may_be_cut_off_itself() -> None:
     diagnosis, _, servers = make_diagnosis({f"s{n}" for n in range(8)}, 8)
     for server in servers:
         server.refused = True
@@ -259,42 +255,42 @@
     assert {server.facts.id for server in servers if server.suspect} == {"s1", "s4", "s7"}
 
 
-def test_a_stage_that_is_silent_on_a_kept_connection_is_asked_on_a_new_one() -> None:
+def test_a_stage_silent_on_an_idle_connection_is_probed_on_a_new_one() -> None:
     diagnosis, stages, servers = make_diagnosis(set(), 4)
-    kept: set[str] = {servers[1].facts.id}
+    idle: set[str] = {servers[1].facts.id}
     dropped: list[BackendId] = []
 
-    diagnosis.has_idle_connection = kept.__contains__
+    diagnosis.has_idle_connection = idle.__contains__
     diagnosis.close_idle = dropped.append
-    stages.silent_when_kept = kept
+    stages.silent_when_idle = idle
     assert diagnosis.probe(servers) == frozenset()
     assert dropped == [servers[1].facts.id]
     assert not servers[1].suspect
 
 
 @pytest.mark.parametrize(
-    ("still_for", "queued", "stalled", "silent"),
+    ("stalled_for", "queued", "stalled", "silent"),
     [
         (runs.SILENT_SECONDS + 0.1, 0, False, True),
         (runs.SILENT_SECONDS - 0.1, 0, False, False),
         (runs.SILENT_SECONDS + 0.1, 3, False, False),
         (runs.SILENT_SECONDS + 0.1, 0, True, False),
     ],
-    ids=["nothing explains it", "too early", "requests queue there", "a stage behind is waited for"],
+    ids=["nothing explains it", "too early", "requests queue there", "it waits for a later stage"],
 )
-def test_a_stream_that_nothing_holds_up_has_a_silent_connection(
-    still_for: float, queued: int, stalled: bool, silent: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_stream_stalled_for_no_known_reason_has_a_silent_connection(
+    stalled_for: float, queued: int, stalled: bool, silent: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     diagnosis, _, servers = make_diagnosis(set())
     run = Run(Path(servers), Attempts(CALL))  # type: ignore[arg-type]
     waits_for = {CALL.head.id: servers[2].facts.address} if stalled else {}
     report = msgspec.structs.replace(ALIVE, queued=queued, stalled=waits_for)
     diagnosis.results[servers[0].facts.id] = ProbeResult(report)
-    monkeypatch.setattr(runs, "now", lambda: run.event_at + still_for)
+    monkeypatch.setattr(runs, "now", lambda: run.event_at + stalled_for)
     assert runs.connection_silent(Peers(diagnosis), CALL, run) is silent  # type: ignore[arg-type]
 
 
-def test_a_server_that_comes_back_without_its_layers_stays_suspect_until_its_row_says_so() -> None:
+def test_a_server_that_returns_without_its_layers_stays_suspect_until_its_row_changes() -> None:
     diagnosis, stages, servers = make_diagnosis({"s1"})
     server = servers[1]
     diagnosis.probe(servers)
@@ -310,18 +306,18 @@
 
 
 class Connections:
-    """A server that answers on the connections that are named, after some seconds."""
+    """A server that answers on each kind of connection after a given delay, or not at all."""
 
     def __init__(self, **after: float) -> None:
         self.after = after
-        """Seconds until an answer on each kind of connection; negative where it breaks then."""
+        """Seconds until an answer on each kind of connection; negative if it breaks then."""
 
         self.asked: list[str] = []
 
     def report(
         self, backend: BackendId, address: str, timeout: float, anew: bool = False
     ) -> StageReport | None:
-        name = "new" if anew else "kept"
+        name = "new" if anew else "idle"
         self.asked.append(name)
         seconds = self.after.get(name, timeout)
         eventlet.sleep(min(timeout, abs(seconds)))
@@ -331,35 +327,36 @@
 @pytest.mark.parametrize(
     ("after", "alive", "asked", "distrusted"),
     [
-        ({"kept": 0.002}, True, ["kept"], False),
-        ({"kept": 0.05}, True, ["kept", "new"], False),
-        ({"new": 0.002}, True, ["kept", "new"], True),
-        ({}, False, ["kept", "new"], False),
-        ({"kept": -0.001, "new": 0.002}, True, ["kept", "new"], False),
+        ({"idle": 0.002}, True, ["idle"], False),
+        ({"idle": 0.05}, True, ["idle", "new"], False),
+        ({"new": 0.002}, True, ["idle", "new"], True),
+        ({}, False, ["idle", "new"], False),
+        ({"idle": -0.001, "new": 0.002}, True, ["idle", "new"], False),
     ],
-    ids=["answers", "slow", "kept one silent", "dark", "kept one broken"],
+    ids=["answers", "slow", "idle one silent", "dead", "idle one broken"],
 )
-def test_a_server_is_asked_on_a_new_connection_beside_one_that_rested(
+def test_a_server_is_probed_on_a_new_connection_besides_an_idle_one(
     after: dict[str, float],
     alive: bool,
     asked: list[str],
     distrusted: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Asked one after the other, dark first stages were found 0.12 s later than others.
+    # When connections were tried one after the other, dead first stages were found 0.12 s later than
+    # others.
     monkeypatch.setattr("bayglade.diagnosis.now", virtual_time.now)
     control = Connections(**after)
-    told: list[float] = []
+    reported: list[float] = []
 
-    def examine() -> tuple[bool, float]:
+    def probe() -> tuple[bool, float]:
         diagnosis, _, servers = make_diagnosis(set())
         diagnosis.control = control  # type: ignore[assignment]
         diagnosis.has_idle_connection = lambda backend: True
-        diagnosis.distrust_idle = told.append
+        diagnosis.distrust_idle = reported.append
         return not diagnosis.probe([servers[0]]), virtual_time.now() - virtual_time.START
 
-    found, seconds = virtual_time.run_virtually(examine)
+    found, seconds = virtual_time.run_virtually(probe)
     assert found is alive
     assert control.asked == asked
-    assert bool(told) is distrusted
+    assert bool(reported) is distrusted
     assert seconds < IDLE_ANSWER_SECONDS + ANSWER_SECONDS + 0.001
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Shares: the queue's order, division of slots over daemons, limits, budgets."""
+"""Fair shares: order of the queue, division of capacity among daemons, limits and retry budgets."""
 
 import random
 
@@ -19,7 +19,7 @@
     return 0, SHARES.get(path, 1.0)
 
 
-def waiting(group, cost=1.0, priority=0, latest=1e12, entry=None):
+def item(group, cost=1.0, priority=0, latest=1e12, entry=None):
     return QueuedItem(GroupPath(group), priority, cost, latest, entry)
 
 
@@ -32,40 +32,40 @@
     return served
 
 
-def filled(groups, count):
+def filled_queue(groups, count):
     usage = Usage()
     queue = ShareQueue(usage, share_of)
     for _ in range(count):
         for group in groups:
-            queue.push(waiting(group))
+            queue.push(item(group))
     return queue, usage
 
 
 def test_groups_that_all_want_more_get_their_shares_at_each_level():
-    queue, usage = filled(["a/x", "a/y", "b"], 400)
+    queue, usage = filled_queue(["a/x", "a/y", "b"], 400)
     served = serve(queue, usage, 360)
     assert served["b"] == pytest.approx(120, abs=3)
     assert served["a/y"] == pytest.approx(180, abs=3)
     assert served["a/x"] == pytest.approx(60, abs=3)
 
 
-def test_the_share_of_an_idle_group_is_lent_and_taken_back():
-    queue, usage = filled(["b"], 100)
+def test_the_share_of_an_idle_group_is_used_by_others_until_it_returns():
+    queue, usage = filled_queue(["b"], 100)
     assert serve(queue, usage, 50) == {"b": 50.0}
     for _ in range(50):
-        queue.push(waiting("a/x"))
+        queue.push(item("a/x"))
     assert set(serve(queue, usage, 20)) == {"a/x"}
 
 
-def test_service_told_by_another_daemon_counts():
-    queue, usage = filled(["a/x", "b"], 100)
+def test_service_reported_by_another_daemon_counts():
+    queue, usage = filled_queue(["a/x", "b"], 100)
     usage.merge_report(MemberId("d2"), [GroupUsage(GroupPath("a/x"), 1000.0, 0.0)])
     assert serve(queue, usage, 50) == {"b": 50.0}
     usage.drop(MemberId("d2"))
     assert usage.total(GroupPath("a"), clock.now()) < 1.0
 
 
-def test_what_another_daemon_tells_twice_counts_once():
+def test_a_repeated_report_counts_once():
     usage = Usage()
     for _ in range(2):
         usage.merge_report(MemberId("d2"), [GroupUsage(GroupPath("a/x"), 100.0, 50.0)])
@@ -74,17 +74,17 @@
 
 
 def test_a_higher_priority_goes_first_within_a_group():
-    queue, _ = filled([], 0)
-    queue.push(waiting("b", priority=0, entry="low"))
-    queue.push(waiting("b", priority=5, entry="high"))
+    queue, _ = filled_queue([], 0)
+    queue.push(item("b", priority=0, entry="low"))
+    queue.push(item("b", priority=5, entry="high"))
     assert [queue.pop().entry, queue.pop().entry] == ["high", "low"]
 
 
 def test_while_the_oldest_is_late_the_newest_goes_first(monkeypatch):
     at = clock.now()
-    queue, _ = filled([], 0)
+    queue, _ = filled_queue([], 0)
     for entry in ("old", "newer", "newest"):
-        queue.push(waiting("b", latest=at + 1.0, entry=entry))
+        queue.push(item("b", latest=at + 1.0, entry=entry))
     monkeypatch.setattr(fairness, "now", lambda: at + 0.9)
     assert queue.pop().entry == "newest"
 
@@ -93,14 +93,14 @@
 
 
 @given(st.lists(st.tuples(GROUPS, st.booleans()), max_size=40))
-def test_a_queue_gives_back_what_was_put_in(steps):
+def test_a_queue_returns_every_entry_once(steps):
     queue = ShareQueue(Usage(), share_of)
     held = []
     for group, remove in steps:
         if remove and held:
             assert queue.remove(held.pop())
             continue
-        entry = waiting(group, cost=2.0)
+        entry = item(group, cost=2.0)
         queue.push(entry)
         held.append(entry)
     assert len(queue) == len(held) and queue.cost == pytest.approx(2.0 * len(held))
@@ -114,34 +114,34 @@
 
 
 @given(DEMANDS, st.floats(1, 2000))
-def test_division_gives_nobody_more_than_asked_and_leaves_nothing_over(demands, capacity):
-    given_out = division.divide_by_shares(demands, lambda path: share_of(path)[1], capacity)
-    assert set(given_out) == set(demands)
-    for path, amount in given_out.items():
+def test_division_allocates_everything_and_no_more_than_demanded(demands, capacity):
+    allocated = division.divide_by_shares(demands, lambda path: share_of(path)[1], capacity)
+    assert set(allocated) == set(demands)
+    for path, amount in allocated.items():
         assert amount <= demands[path] * (1 + 1e-9)
     expected = min(capacity, sum(demands.values()))
-    assert sum(given_out.values()) == pytest.approx(expected)
+    assert sum(allocated.values()) == pytest.approx(expected)
 
 
-def test_division_follows_the_shares_when_all_want_more():
+def test_division_follows_the_shares_if_all_demand_more():
     demands = {GroupPath(path): 1000.0 for path in ("a/x", "a/y", "b")}
-    given_out = division.divide_by_shares(demands, lambda path: share_of(path)[1], 120.0)
-    assert given_out == pytest.approx({"a/x": 20.0, "a/y": 60.0, "b": 40.0})
+    allocated = division.divide_by_shares(demands, lambda path: share_of(path)[1], 120.0)
+    assert allocated == pytest.approx({"a/x": 20.0, "a/y": 60.0, "b": 40.0})
 
 
-def test_a_daemon_gets_the_part_that_its_groups_are_due():
+def test_a_daemon_gets_the_fraction_due_to_its_groups():
     demands = {GroupPath("a"): 100.0, GroupPath("b"): 100.0}
-    parts = [
+    fractions = [
         division.own_fraction(mine, demands, lambda path: share_of(path)[1], 60.0, 2, 2)
         for mine in ({GroupPath("a"): 100.0, GroupPath("b"): 50.0}, {GroupPath("b"): 50.0})
     ]
-    assert sum(parts) == pytest.approx(1.0)
-    assert parts[0] == pytest.approx(0.05 + 0.9 * 5 / 6)
+    assert sum(fractions) == pytest.approx(1.0)
+    assert fractions[0] == pytest.approx(0.05 + 0.9 * 5 / 6)
 
 
-@pytest.mark.parametrize(("heard", "members", "part"), [(1, 1, 1.0), (1, 4, 0.25), (4, 4, 0.25)])
-def test_silent_daemons_keep_their_part(heard, members, part):
-    assert division.own_fraction({}, {}, lambda _: 1.0, 0.0, heard, members) == pytest.approx(part)
+@pytest.mark.parametrize(("heard", "members", "fraction"), [(1, 1, 1.0), (1, 4, 0.25), (4, 4, 0.25)])
+def test_silent_daemons_keep_their_part(heard, members, fraction):
+    assert division.own_fraction({}, {}, lambda _: 1.0, 0.0, heard, members) == pytest.approx(fraction)
 
 
 def limited(**fields):
@@ -158,25 +158,25 @@
     ],
     ids=["requests", "tokens", "in flight"],
 )
-def test_a_limit_lets_through_its_burst_and_no_more(monkeypatch, fields, cost, passed):
+def test_a_limit_admits_its_burst_and_no_more(monkeypatch, fields, cost, passed):
     at = clock.now()
     monkeypatch.setattr(limits, "now", lambda: at)
-    held, tree = limits.GroupLimits(Usage()), limited(**fields)
+    group_limits, tree = limits.GroupLimits(Usage()), limited(**fields)
     for _ in range(passed):
-        held.acquire(tree, GroupPath("a"), cost, 1)
+        group_limits.acquire(tree, GroupPath("a"), cost, 1)
     with pytest.raises(LimitExceeded) as caught:
-        held.acquire(tree, GroupPath("a"), cost, 1)
+        group_limits.acquire(tree, GroupPath("a"), cost, 1)
     assert caught.value.retry_after > 0
-    held.give_back(GroupPath("a"))
+    group_limits.give_back(GroupPath("a"))
 
 
-def test_a_limit_of_a_level_binds_all_below_it():
-    held = limits.GroupLimits(Usage())
+def test_a_limit_applies_to_all_levels_below():
+    group_limits = limits.GroupLimits(Usage())
     tree = limited(in_flight=1)
     tree.root.groups["a"].groups = {"x": settings.Level(), "y": settings.Level()}
-    held.acquire(tree, GroupPath("a/x"), 1.0, 1)
+    group_limits.acquire(tree, GroupPath("a/x"), 1.0, 1)
     with pytest.raises(LimitExceeded):
-        held.acquire(tree, GroupPath("a/y"), 1.0, 1)
+        group_limits.acquire(tree, GroupPath("a/y"), 1.0, 1)
 
 
 def test_daemons_divide_a_limit_by_need():
@@ -189,7 +189,7 @@
     assert usage.limit_fraction(GroupPath("a"), 2, at) == pytest.approx(0.25, rel=0.05)
 
 
-def test_a_retry_budget_is_a_floor_and_a_tenth_of_the_traffic():
+def test_a_retry_budget_is_a_floor_plus_a_tenth_of_the_traffic():
     budget = retries.RetryBudget()
     for _ in range(200):
         budget.request()
@@ -197,7 +197,7 @@
     assert allowed == pytest.approx(retries.BUDGET_FLOOR + 20, abs=1)
 
 
-def test_callers_that_were_refused_do_not_come_back_together():
+def test_retry_delays_of_refused_clients_are_spread():
     rng = random.Random(1)
-    moments = {round(retries.spread_retry_after(2.0, rng), 3) for _ in range(100)}
-    assert len(moments) > 90 and min(moments) >= 2.0 and max(moments) <= 3.0
+    delays = {round(retries.spread_retry_after(2.0, rng), 3) for _ in range(100)}
+    assert len(delays) > 90 and min(delays) >= 2.0 and max(delays) <= 3.0
--- a/tests/test_harmless_requests.py
+++ b/tests/test_harmless_questions.py
@@ -38,7 +38,7 @@
 )
 from tests.test_roster import Rows
 
-COMMON, CRASHING = b"sent by all clients", b"crashes servers"
+COMMON, CRASHING = b"what all ask", b"what ends servers"
 
 
 @pytest.fixture
--- a/tests/test_crash_reports.py
+++ b/tests/test_late_word.py
@@ -126,13 +126,13 @@
 def test_a_joining_daemon_gets_stopped_and_proven_requests(clock: Clock) -> None:
     here, new = make_quarantine(), make_quarantine()
     crash_servers(here, make_call(), range(CRASHES_TO_STOP))
-    here.merge_proven([fingerprint_of(make_call(b"sent by all clients"), KEY)])
-    crash_servers(here, make_call(b"sent by all clients"), range(CRASHES_TO_STOP))
+    here.merge_proven([fingerprint_of(make_call(b"asked by all"), KEY)])
+    crash_servers(here, make_call(b"asked by all"), range(CRASHES_TO_STOP))
     crashes, proven = here.snapshot()
     new.merge_proven(proven)
     new.merge_crashes(crashes, [])
     assert new.is_stopped(make_call())
-    assert not new.is_stopped(make_call(b"sent by all clients"))
+    assert not new.is_stopped(make_call(b"asked by all"))
 
 
 def test_the_report_to_a_joining_daemon_is_bounded(clock: Clock) -> None:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,4 +1,5 @@
-"""Lending of retries: no more than the bound in any window, whoever borrows and whenever readers come."""
+"""Lending of retries: loans never exceed the budget in any window, whatever the borrowers and readers
+do."""
 
 import random
 
@@ -24,15 +25,15 @@
     return made
 
 
-def a_reader(clock: ManualClock) -> tuple[RetryPools, list[Message]]:
+def make_reader(clock: ManualClock) -> tuple[RetryPools, list[Message]]:
     sent: list[Message] = []
     pools = RetryPools(lambda: (), lambda m, message: sent.append(message), WINDOW)
     pools.assign(FLOOR)
     return pools, sent
 
 
-def test_a_new_reader_lends_nothing_until_older_loans_are_over(clock: ManualClock) -> None:
-    pools, _ = a_reader(clock)
+def test_a_new_reader_lends_nothing_until_older_loans_expire(clock: ManualClock) -> None:
+    pools, _ = make_reader(clock)
     assert pools.lend(SERVICE, LOAN_SIZE) == 0
     clock.at += WINDOW + LOAN_SECONDS - 0.1
     assert pools.lend(SERVICE, LOAN_SIZE) == 0
@@ -40,23 +41,23 @@
     assert pools.lend(SERVICE, LOAN_SIZE) == LOAN_SIZE
 
 
-def test_a_daemon_that_was_no_reader_for_a_while_begins_anew(clock: ManualClock) -> None:
-    pools, _ = a_reader(clock)
+def test_a_daemon_that_becomes_reader_again_waits_again(clock: ManualClock) -> None:
+    pools, _ = make_reader(clock)
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     pools.assign(0.0)
     pools.assign(FLOOR)
     assert pools.lend(SERVICE, LOAN_SIZE) == 0
 
 
-def test_a_wish_to_borrow_is_answered_with_what_is_left(clock: ManualClock) -> None:
-    pools, sent = a_reader(clock)
+def test_a_loan_request_is_granted_from_what_is_left(clock: ManualClock) -> None:
+    pools, sent = make_reader(clock)
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     for number in range(8):
         pools.handle_borrow(MemberId("d5"), Borrow(number, SERVICE, LOAN_SIZE))
     assert [message.amount for message in sent if isinstance(message, Lent)] == [LOAN_SIZE] * 5 + [0] * 3
 
 
-def test_a_loan_is_used_after_the_own_budget_and_ends(clock: ManualClock) -> None:
+def test_a_loan_is_used_after_the_own_budget_and_expires(clock: ManualClock) -> None:
     budget = RetryBudget(0.0, 1.0, WINDOW)
     assert budget.retry()
     assert not budget.retry()
@@ -66,22 +67,22 @@
     assert not budget.retry()
 
 
-def test_an_answer_that_nobody_waits_for_is_passed_over(clock: ManualClock) -> None:
-    pools, _ = a_reader(clock)
+def test_an_unexpected_loan_is_ignored(clock: ManualClock) -> None:
+    pools, _ = make_reader(clock)
     pools.handle_lent(MemberId("d1"), Lent(99, LOAN_SIZE))
     assert pools.pending.waiting == {}
 
 
 def test_no_window_sees_more_loans_than_the_floor(clock: ManualClock) -> None:
     rng = random.Random(5)
-    pools, _ = a_reader(clock)
+    pools, _ = make_reader(clock)
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     used: list[float] = []
     loans: list[tuple[float, int]] = []
     for _ in range(2000):
         clock.at += rng.expovariate(20.0)
         loans.append((clock.at, pools.lend(SERVICE, rng.randint(1, 6))))
-        # The worst borrower uses each loan at the very end of its life.
+        # The worst borrower uses each loan at the very end of its lifetime.
         used += [clock.at + LOAN_SECONDS] * loans[-1][1]
         early = rng.random() < 0.5
         if early and loans[-1][1]:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,7 +1,7 @@
-"""Limits of servers among many daemons: never exceeded, used by whoever has callers, whoever is lost.
+"""Limits of servers shared by many daemons: never exceeded, and fully used, whichever daemons are lost.
 
-The limits and the lending are the product's own; servers, streams between daemons and what a daemon
-notices of others are simulated, in virtual time.
+The limits and quotas are the product's own code; servers, streams between daemons and the detection of
+lost daemons are simulated, in virtual time.
 """
 
 import random
@@ -22,20 +22,20 @@
 from tests.virtual_time import now, run_virtually
 
 SERVER = BackendId("s")
-WAY_SECONDS = 0.001
-SILENT_SECONDS = 1.8
-"""After this time a daemon is known to be lost."""
+LATENCY_SECONDS = 0.001
+DETECTION_SECONDS = 1.8
+"""Time after which a daemon is known to be lost."""
 
-TOLD_SECONDS = 0.5
-TURN_SECONDS = 0.06
-"""Time between a daemon's looks for a request that it may send."""
+NOTICE_SECONDS = 0.5
+POLL_SECONDS = 0.06
+"""Interval at which a daemon looks for a request that it may send."""
 
 ANSWER_SECONDS = 0.05
-MESH = 16
+MESH_SIZE = 16
 
 
 class Backend:
-    """The server: what reached it, and the limit that its answers name."""
+    """The server: the requests that reached it, and the limit that its responses name."""
 
     def __init__(self, rate: float | None) -> None:
         self.rate = rate
@@ -43,7 +43,7 @@
 
 
 class Daemon:
-    """One daemon: it knows limits, borrows, keeps, and has callers."""
+    """One daemon, which knows limits, requests and grants tokens, and has clients."""
 
     def __init__(self, name: str, site: "Site") -> None:
         self.name = MemberId(name)
@@ -52,7 +52,7 @@
         self.fleet.take([facts_of(layers=None, kind=None)], [], outage=False)
         self.limits = self.fleet.rate_limits
         self.limits.me = self.name
-        self.limits.on_update = self._tell
+        self.limits.on_update = self._broadcast
         self.quotas = Quotas(
             self.limits,
             self.name,
@@ -64,8 +64,8 @@
         )
         self.callers: list[float] = []
         self.served = 0
-        self.told_at: float | None = None
-        """When it first passed on an answer that named a limit."""
+        self.limit_seen_at: float | None = None
+        """When it first received a response that names a limit."""
 
         self.alive = True
         self.frozen_until = 0.0
@@ -75,7 +75,7 @@
         return self.fleet.servers[SERVER]
 
     def serve(self) -> None:
-        """Send what callers wait for, as far as the limit allows."""
+        """Send what clients wait for, as far as the limit allows."""
         if not self.alive or now() < self.frozen_until:
             return
         self.callers = [until for until in self.callers if until > now()]
@@ -88,23 +88,23 @@
             self.send()
 
     def send(self) -> None:
-        """Send a request to the server and take in its answer."""
+        """Send a request to the server and process its response."""
         at, backend = now(), self.site.backend
         backend.arrived.append((at, self))
         self.served += 1
         rate = backend.rate
         eventlet.spawn_after(ANSWER_SECONDS, self._answered, at, rate)
 
-    def hear(self, sender: MemberId, message: Message) -> None:
+    def receive(self, sender: MemberId, message: Message) -> None:
         if not self.alive:
             return
         if now() < self.frozen_until:
-            eventlet.spawn_after(self.frozen_until - now() + WAY_SECONDS, self.hear, sender, message)
+            eventlet.spawn_after(self.frozen_until - now() + LATENCY_SECONDS, self.receive, sender, message)
             return
         if isinstance(message, Findings):
-            news = self.limits.merge_notices(message.limits)
-            if news and self.name in self.site.readers():
-                self.site.tell(self, Findings(limits=news), but=sender)
+            new = self.limits.merge_notices(message.limits)
+            if new and self.name in self.site.readers():
+                self.site.broadcast(self, Findings(limits=new), but=sender)
         elif isinstance(message, QuotaRequest):
             self.quotas.handle_request(sender, message)
         elif isinstance(message, QuotaReply):
@@ -115,12 +115,12 @@
     def _answered(self, sent_at: float, rate: float | None) -> None:
         if not self.alive:
             return
-        if rate is not None and self.told_at is None:
-            self.told_at = now()
+        if rate is not None and self.limit_seen_at is None:
+            self.limit_seen_at = now()
         self.limits.note_answer(self.server, rate, sent_at, "an answer")
 
-    def _tell(self, notices: list[LimitNotice]) -> None:
-        self.site.tell(self, Findings(limits=notices))
+    def _broadcast(self, notices: list[LimitNotice]) -> None:
+        self.site.broadcast(self, Findings(limits=notices))
 
     def _owner_of(self, server: Server) -> MemberId | None:
         return choose_owner(server.facts.key, self.site.readers(self) or self.site.names(self))
@@ -132,7 +132,7 @@
 
 
 class Site:
-    """The daemons before one server, and the streams between them."""
+    """The daemons in front of one server, and the streams between them."""
 
     def __init__(self, count: int, rate: float | None) -> None:
         self.rng = random.Random(count)
@@ -140,24 +140,24 @@
         self.daemons: dict[MemberId, Daemon] = {}
         self.lost_at: dict[MemberId, float] = {}
         self.messages = 0
-        self.made = 0
+        self.created = 0
         for _ in range(count):
             self.add()
 
     def add(self) -> Daemon:
-        daemon = Daemon(f"d{self.made}", self)
-        self.made += 1
+        daemon = Daemon(f"d{self.created}", self)
+        self.created += 1
         for other in self.daemons.values():
-            # A daemon that joins is told what holds.
+            # A daemon that joins gets the limits known to others.
             if (known := other.limits.snapshot()) and other.name in self.readers() | self.streams(
                 daemon.name
             ):
-                eventlet.spawn_after(WAY_SECONDS, daemon.hear, other.name, Findings(limits=known))
+                eventlet.spawn_after(LATENCY_SECONDS, daemon.receive, other.name, Findings(limits=known))
         self.daemons[daemon.name] = daemon
         return daemon
 
     def owner(self) -> Daemon:
-        """Return the daemon that keeps the limit."""
+        """Return the daemon that owns the limit."""
         viewer = next(daemon for daemon in self.daemons.values() if daemon.alive)
         name = viewer._owner_of(viewer.server)
         assert name is not None
@@ -168,14 +168,16 @@
         self.lost_at[daemon.name] = now()
 
     def names(self, viewer: Daemon | None = None) -> list[MemberId]:
-        """List the daemons that are taken to live."""
+        """List the daemons considered live."""
         return [
-            name for name in self.daemons if now() - self.lost_at.get(name, float("inf")) < SILENT_SECONDS
+            name
+            for name in self.daemons
+            if now() - self.lost_at.get(name, float("inf")) < DETECTION_SECONDS
         ]
 
     def readers(self, viewer: Daemon | None = None) -> set[MemberId]:
-        """Return who reads for the others in a large site; nobody in a small one."""
-        return set(sorted(self.names())[:2]) if len(self.daemons) > MESH else set()
+        """Return the readers of a large site; none in a small one."""
+        return set(sorted(self.names())[:2]) if len(self.daemons) > MESH_SIZE else set()
 
     def streams(self, name: MemberId) -> set[MemberId]:
         readers = self.readers()
@@ -186,19 +188,19 @@
     def deliver(self, sender: Daemon, to: MemberId, message: Message) -> None:
         self.messages += 1
         if to in self.daemons and sender.alive and to in self.streams(sender.name):
-            eventlet.spawn_after(WAY_SECONDS, self.daemons[to].hear, sender.name, message)
+            eventlet.spawn_after(LATENCY_SECONDS, self.daemons[to].receive, sender.name, message)
 
-    def tell(self, sender: Daemon, findings: Findings, but: MemberId | None = None) -> None:
+    def broadcast(self, sender: Daemon, findings: Findings, but: MemberId | None = None) -> None:
         for name in self.streams(sender.name):
             if name != but:
                 self.deliver(sender, name, findings)
 
     def run(self, seconds: float, callers_per_second: float, some: Sequence[Daemon] = ()) -> None:
-        """Have callers come to all daemons, or to some, for a while."""
+        """Have clients send requests to all daemons, or to some, for a while."""
         until = now() + seconds
         due = now()
         while now() < until:
-            eventlet.sleep(TURN_SECONDS)
+            eventlet.sleep(POLL_SECONDS)
             while due < now():
                 due += self.rng.expovariate(callers_per_second)
                 live = [d for d in (some or list(self.daemons.values())) if d.alive]
@@ -206,18 +208,19 @@
             for daemon in list(self.daemons.values()):
                 daemon.serve()
 
-    def worst(self, since: float = 0.0, excused: Sequence[Daemon] = ()) -> int:
-        """Return the most requests in a window, of daemons that knew the limit by their own answers."""
+    def max_in_window(self, since: float = 0.0, excused: Sequence[Daemon] = ()) -> int:
+        """Return the most requests in any window, of daemons that know the limit from their own
+        responses."""
         times = [
             at
             for at, daemon in self.backend.arrived
             if daemon not in excused
-            and daemon.told_at is not None
-            and at >= max(since, daemon.told_at + TOLD_SECONDS)
+            and daemon.limit_seen_at is not None
+            and at >= max(since, daemon.limit_seen_at + NOTICE_SECONDS)
         ]
         return worst_window(times)
 
-    def got(self, since: float) -> int:
+    def received(self, since: float) -> int:
         return sum(1 for at, _ in self.backend.arrived if at >= since)
 
 
@@ -227,32 +230,32 @@
         monkeypatch.setattr(module, "now", now)
 
 
-def play(scenario: Callable[[], None]) -> None:
+def run_scenario(scenario: Callable[[], None]) -> None:
     run_virtually(scenario)
 
 
 @pytest.mark.parametrize("count", [1, 8, 14, 64, 200])
 @pytest.mark.parametrize("rate", [0.25, 1.0, 4.0, 16.0])
-def test_a_limit_is_kept_and_used_by_whoever_has_callers(count: int, rate: float) -> None:
+def test_a_limit_is_respected_and_used_by_the_daemons_with_clients(count: int, rate: float) -> None:
     def scenario() -> None:
         site = Site(count, rate)
         site.run(5.0, 4 * rate)
         since = now()
         site.run(30.0, 4 * rate)
-        assert site.worst() <= allowed(rate)
-        assert site.got(since) >= 0.75 * rate * 30.0 - 1
+        assert site.max_in_window() <= allowed(rate)
+        assert site.received(since) >= 0.75 * rate * 30.0 - 1
         few = list(site.daemons.values())[: max(1, count // 10)]
         since = now()
         site.run(30.0, 4 * rate, few)
-        assert site.worst() <= allowed(rate)
-        assert site.got(since) >= 0.75 * rate * 30.0 - 1
+        assert site.max_in_window() <= allowed(rate)
+        assert site.received(since) >= 0.75 * rate * 30.0 - 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("count", [8, 200])
 @pytest.mark.parametrize("rate", [1.0, 4.0])
-def test_a_limit_holds_when_all_ask_at_once_after_a_silence(count: int, rate: float) -> None:
+def test_a_limit_holds_when_all_ask_at_once_after_a_pause(count: int, rate: float) -> None:
     def scenario() -> None:
         site = Site(count, rate)
         site.run(3.0, 4 * rate)
@@ -261,13 +264,13 @@
             for daemon in site.daemons.values():
                 daemon.callers.append(now() + 1.5)
             site.run(2.0, 0.001)
-        assert site.worst() <= allowed(rate)
+        assert site.max_in_window() <= allowed(rate)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("count", [8, 14, 200])
-def test_a_limit_holds_while_keepers_are_lost_and_daemons_come(count: int) -> None:
+def test_a_limit_holds_while_owners_are_lost_and_daemons_join(count: int) -> None:
     def scenario() -> None:
         site = Site(count, 2.0)
         site.run(5.0, 8.0)
@@ -278,27 +281,27 @@
             site.run(4.0, 8.0)
         since = now()
         site.run(10.0, 8.0)
-        assert site.worst() <= allowed(2.0)
-        assert site.got(since) >= 0.7 * 2.0 * 10.0
+        assert site.max_in_window() <= allowed(2.0)
+        assert site.received(since) >= 0.7 * 2.0 * 10.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("count", [8, 200])
-def test_a_frozen_daemon_sends_nothing_that_was_lent_long_ago(count: int) -> None:
+def test_a_frozen_daemon_does_not_use_expired_tokens(count: int) -> None:
     def scenario() -> None:
         site = Site(count, 2.0)
         site.run(5.0, 8.0)
         for daemon in list(site.daemons.values())[: count // 2]:
             daemon.frozen_until = now() + 5.0
         site.run(12.0, 8.0)
-        assert site.worst() <= allowed(2.0)
+        assert site.max_in_window() <= allowed(2.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("count", [2, 8, 200])
-def test_the_end_of_a_limit_reaches_all_and_notices_die_out(count: int) -> None:
+def test_the_end_of_a_limit_reaches_all_and_notices_end(count: int) -> None:
     def scenario() -> None:
         site = Site(count, 2.0)
         site.run(8.0, 8.0)
@@ -311,7 +314,7 @@
         eventlet.sleep(60.0)
         assert site.messages == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("count", [2, 8, 200])
@@ -323,30 +326,30 @@
         site.run(3.0, 32.0)
         since = now()
         site.run(10.0, 32.0)
-        assert site.worst(since) <= allowed(1.0)
+        assert site.max_in_window(since) <= allowed(1.0)
         rates = {
             daemon.server.rate_limit and daemon.server.rate_limit.rate for daemon in site.daemons.values()
         }
         assert rates == {1.0}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_server_that_takes_none_is_asked_very_seldom() -> None:
+def test_a_server_with_a_limit_of_zero_is_tried_rarely() -> None:
     def scenario() -> None:
         site = Site(8, 0.0)
         site.run(5.0, 8.0)
         since = now()
         site.run(200.0, 8.0)
-        assert 1 <= site.got(since) <= 5
+        assert 1 <= site.received(since) <= 5
         site.backend.rate = None
         site.run(120.0, 8.0)
         assert all(daemon.server.throttle is None for daemon in site.daemons.values())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_messages_do_not_grow_with_the_calls_that_find_nothing() -> None:
+def test_messages_do_not_grow_with_refused_calls() -> None:
     def scenario() -> None:
         site = Site(8, 1.0)
         site.run(5.0, 4.0)
@@ -354,10 +357,10 @@
         site.run(20.0, 400.0)
         assert site.messages - before <= 20.0 * 8 * 8
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_was_lent_is_sent_within_a_second_or_returned() -> None:
+def test_an_unused_token_is_returned() -> None:
     def scenario() -> None:
         site = Site(2, 1.0)
         site.run(5.0, 4.0)
@@ -370,10 +373,10 @@
         assert server.throttle is not None
         assert not server.usable(now())
         assert not server.throttle.take(now())
-        # The keeper has it back, and lends it to the next who asks.
+        # The owner has the token back, and grants it to the next daemon that asks.
         other = site.owner()
         other.limits.request_tokens([other.server])
         eventlet.sleep(0.1)
         assert other.server.usable(now())
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""What daemons know of rate limits: which answers count, what others tell, and that notices die out."""
+"""Rate limits as daemons know them: which responses count, and how notices spread and end."""
 
 from collections.abc import Callable
 
@@ -33,19 +33,19 @@
 
 
 def listed(name: str = "d0") -> tuple[Fleet, Server, list[LimitNotice]]:
-    fleet, told = Fleet(), []
+    fleet, announced = Fleet(), []
     fleet.take([facts_of()], [], outage=False)
     fleet.rate_limits.me = MemberId(name)
-    fleet.rate_limits.on_update = told.extend
-    return fleet, fleet.servers[ID], told
+    fleet.rate_limits.on_update = announced.extend
+    return fleet, fleet.servers[ID], announced
 
 
 def rate_of(server: Server) -> float | None:
     return server.rate_limit.rate if server.rate_limit is not None else None
 
 
-def test_an_answer_ends_a_limit_only_if_its_request_went_out_after_that_was_named(clock: Clock) -> None:
-    fleet, server, told = listed()
+def test_a_response_ends_a_limit_only_if_its_request_was_sent_after_it_was_named(clock: Clock) -> None:
+    fleet, server, announced = listed()
     fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     clock.at += 1.0
     fleet.rate_limits.note_answer(server, None, 99.9, SOURCE)
@@ -53,15 +53,15 @@
     fleet.rate_limits.note_answer(server, None, 100.5, SOURCE)
     assert rate_of(server) is None
     assert server.usable(clock.at)
-    assert [notice.rate for notice in told] == [2.0, None]
+    assert [notice.rate for notice in announced] == [2.0, None]
 
 
-def test_a_limit_that_holds_on_is_told_again_and_no_more_often(clock: Clock) -> None:
-    fleet, server, told = listed()
+def test_a_persistent_limit_is_announced_at_an_interval(clock: Clock) -> None:
+    fleet, server, announced = listed()
     for _ in range(int(4 * ANNOUNCE_SECONDS)):
         fleet.rate_limits.note_answer(server, 2.0, clock.at, SOURCE)
         clock.at += 1.0
-    assert len(told) == 4
+    assert len(announced) == 4
 
 
 @pytest.mark.parametrize("outage", [False, True])
@@ -75,7 +75,7 @@
     assert not fleet.servers[ID].usable(clock.at)
 
 
-def test_a_new_start_has_no_limit_and_old_notices_say_nothing_of_it(clock: Clock) -> None:
+def test_a_new_incarnation_has_no_limit_and_ignores_old_notices(clock: Clock) -> None:
     fleet, server, _ = listed()
     fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     fleet.take([facts_of(born=BORN + 1)], [], outage=False)
@@ -86,7 +86,7 @@
     assert again.usable(clock.at)
 
 
-def test_a_server_with_a_limit_is_well(clock: Clock) -> None:
+def test_a_rate_limited_server_is_healthy(clock: Clock) -> None:
     fleet, server, _ = listed()
     changed = fleet.changed
     fleet.rate_limits.note_answer(server, 0.0, 99.0, SOURCE)
@@ -98,7 +98,7 @@
     assert fleet.changed == changed
 
 
-def test_what_was_lent_is_used_once_or_given_back(clock: Clock) -> None:
+def test_a_token_is_used_once_or_given_back(clock: Clock) -> None:
     fleet, server, _ = listed()
     fleet.rate_limits.note_answer(server, 2.0, 99.0, SOURCE)
     assert server.throttle is not None
@@ -112,41 +112,43 @@
     assert not server.throttle.take(clock.at + 1.0)
 
 
-def test_keepers_of_many_servers_are_spread() -> None:
+def test_limits_are_spread_over_owners() -> None:
     members = [MemberId(f"d{n}") for n in range(8)]
     keys = [facts_of(f"s{n}").key for n in range(400)]
-    kept = [choose_owner(key, members) for key in keys]
-    assert all(20 <= kept.count(member) <= 90 for member in members)
-    # Who leaves changes the keepers of its own servers only.
-    left = [choose_owner(key, members[1:]) for key in keys]
-    assert all(after == before for before, after in zip(kept, left, strict=True) if before != members[0])
+    owners = [choose_owner(key, members) for key in keys]
+    assert all(20 <= owners.count(member) <= 90 for member in members)
+    # A daemon that leaves changes the owners of its own servers only.
+    remaining = [choose_owner(key, members[1:]) for key in keys]
+    assert all(
+        after == before for before, after in zip(owners, remaining, strict=True) if before != members[0]
+    )
 
 
 class Daemons:
-    """Daemons that all tell each other, and the notices that are on their way."""
+    """Daemons that all report to each other, and the notices in transit."""
 
     def __init__(self, count: int) -> None:
         self.fleets: list[Fleet] = []
-        self.on_way: list[tuple[int, list[LimitNotice]]] = []
+        self.in_transit: list[tuple[int, list[LimitNotice]]] = []
         self.messages = 0
         for number in range(count):
             fleet, _, _ = listed(f"d{number}")
-            fleet.rate_limits.on_update = self._teller(number)
+            fleet.rate_limits.on_update = self._sender_of(number)
             self.fleets.append(fleet)
 
-    def _teller(self, sender: int) -> Callable[[list[LimitNotice]], None]:
-        return lambda notices: self.tell(sender, notices)
+    def _sender_of(self, sender: int) -> Callable[[list[LimitNotice]], None]:
+        return lambda notices: self.send(sender, notices)
 
-    def tell(self, sender: int, notices: list[LimitNotice]) -> None:
+    def send(self, sender: int, notices: list[LimitNotice]) -> None:
         for number in range(len(self.fleets)):
             if number != sender:
                 self.messages += 1
-                self.on_way.append((number, notices))
+                self.in_transit.append((number, notices))
 
     def deliver(self, place: int) -> None:
-        number, notices = self.on_way.pop(place % len(self.on_way))
-        if news := self.fleets[number].rate_limits.merge_notices(notices):
-            self.tell(number, news)
+        number, notices = self.in_transit.pop(place % len(self.in_transit))
+        if new := self.fleets[number].rate_limits.merge_notices(notices):
+            self.send(number, new)
 
 
 @given(
@@ -155,7 +157,7 @@
     ),
     st.lists(st.integers(0, 1000), min_size=1, max_size=20),
 )
-def test_notices_in_any_order_die_out_and_the_last_answer_is_known_to_all(
+def test_notices_in_any_order_end_and_the_last_response_reaches_all(
     answers: list[tuple[int, float | None, int]], order: list[int]
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
@@ -164,20 +166,20 @@
             clock.at += 0.01
             fleet = daemons.fleets[number]
             fleet.rate_limits.note_answer(fleet.servers[ID], rate, clock.at, SOURCE)
-            for step in range(min(delivered, len(daemons.on_way))):
+            for step in range(min(delivered, len(daemons.in_transit))):
                 clock.at += 0.001
                 daemons.deliver(order[step % len(order)])
         for step in range(10_000):
-            if not daemons.on_way:
+            if not daemons.in_transit:
                 break
             clock.at += 0.001
             daemons.deliver(order[step % len(order)])
-        assert not daemons.on_way
+        assert not daemons.in_transit
         assert daemons.messages <= 12 * len(answers)
         clock.at += 1.0
         last = daemons.fleets[0]
         last.rate_limits.note_answer(last.servers[ID], 2.0, clock.at, SOURCE)
-        while daemons.on_way:
+        while daemons.in_transit:
             clock.at += 0.001
             daemons.deliver(0)
         assert {rate_of(fleet.servers[ID]) for fleet in daemons.fleets} == {2.0}
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -1,4 +1,4 @@
-"""Servers that name a limit get no more than that of all daemons together."""
+"""Rate-limited servers get no more requests than their limit from all daemons together."""
 
 import signal
 import threading
@@ -12,12 +12,12 @@
 from standins.world import wait_for
 from tests.gateway_callers import Answer, ask
 
-CALLERS = 8
+CLIENTS = 8
 SECONDS = 6.0
-"""How long callers ask: a window, and a time before it in which daemons come to know."""
+"""How long clients send: one window, and the time before it in which daemons learn of the limit."""
 
-SERVED_PART = 0.98
-"""Part of the requests that is to be served while other servers have room."""
+SERVED_FRACTION = 0.98
+"""Fraction of requests that has to be served while other servers have room."""
 
 
 @pytest.fixture
@@ -33,14 +33,14 @@
         wait_for("streams are served", lambda daemon=daemon: ask(daemon.callers, "/stream/x").status == 200)
         wait_for("calls are served", lambda daemon=daemon: ask(daemon.callers, "/safe/x").status == 200)
         wait_for(
-            "it hears the others",
+            "it knows the others",
             lambda daemon=daemon: len(daemon.beliefs()["members"]) == count - 1,
         )
     return daemons
 
 
 class Load:
-    """Callers that ask daemons without a pause, and what came of it."""
+    """Clients that send requests to daemons continuously, and their results."""
 
     def __init__(self, daemons: Sequence[Daemon], path: str, pause: float = 0.0) -> None:
         self.daemons = daemons
@@ -51,13 +51,13 @@
 
     def run(self, seconds: float = SECONDS) -> None:
         until = time.monotonic() + seconds
-        threads = [threading.Thread(target=self._call, args=(n, until)) for n in range(CALLERS)]
+        threads = [threading.Thread(target=self._call, args=(n, until)) for n in range(CLIENTS)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
 
-    def served_part(self) -> float:
+    def served_fraction(self) -> float:
         return sum(answer.status == 200 and answer.whole for answer in self.answers) / len(self.answers)
 
     def _call(self, number: int, until: float) -> None:
@@ -70,7 +70,7 @@
 
 
 def excesses_under(load: Load, servers: Sequence[Replica]) -> list[object]:
-    """Return what servers got beyond their limits of the requests of a load."""
+    """Return by how much the requests of a load exceeded the limits of servers."""
     for server in servers:
         server.arrived = [(request, at) for request, at in server.arrived if request in load.daemon_of]
         server.limits_named = [named for named in server.limits_named if named.request in load.daemon_of]
@@ -87,9 +87,7 @@
 
 @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/stream/x"])
 @pytest.mark.parametrize("count", [1, 3])
-def test_a_server_gets_no_more_than_its_limit_of_all_daemons(
-    site: UsersSite, path: str, count: int
-) -> None:
+def test_all_daemons_together_respect_the_limit_of_a_server(site: UsersSite, path: str, count: int) -> None:
     daemons = started(site, count)
     limited = servers_of(site, path)[0]
     limited.rate_limit = "1"
@@ -97,11 +95,11 @@
     load.run()
     assert limited.limits_named
     assert excesses_under(load, [limited]) == []
-    assert load.served_part() >= SERVED_PART
+    assert load.served_fraction() >= SERVED_FRACTION
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/stream/x"])
-def test_no_server_gets_more_than_its_limit_when_all_name_one(site: UsersSite, path: str) -> None:
+def test_limits_are_respected_if_all_servers_have_one(site: UsersSite, path: str) -> None:
     daemons = started(site, 3)
     limited = servers_of(site, path)
     for server in limited:
@@ -119,13 +117,13 @@
 
 def wait_known(daemons: Sequence[Daemon], server: Replica, rate: float | None) -> None:
     wait_for(
-        f"all know of the limit {rate}",
+        f"all daemons know of the limit {rate}",
         lambda: all(belief_of(daemon, server)["rate_limit"] == rate for daemon in daemons),
     )
 
 
 @pytest.mark.parametrize("answer", ["200", "500", "503", "stream"])
-def test_a_limit_that_any_answer_names_is_told_to_all(site: UsersSite, answer: str) -> None:
+def test_a_limit_named_by_any_response_reaches_all(site: UsersSite, answer: str) -> None:
     daemons = started(site, 3)
     path = "/stream/x" if answer == "stream" else "/safe/x"
     limited = servers_of(site, path)[0]
@@ -142,40 +140,40 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/stream/x"])
-@pytest.mark.parametrize("end", ["no longer named", "a new start"])
-def test_a_limit_holds_no_longer_than_its_server_names_it(site: UsersSite, path: str, end: str) -> None:
+@pytest.mark.parametrize("end", ["no longer named", "a restart"])
+def test_a_limit_ends_when_its_server_no_longer_names_it(site: UsersSite, path: str, end: str) -> None:
     daemons = started(site, 2)
     limited = servers_of(site, path)[0]
     limited.rate_limit = "1"
     Load(daemons, path).run(1.5)
     wait_known(daemons, limited, 1.0)
     limited.rate_limit = ""
-    if end == "a new start":
+    if end == "a restart":
         limited.restart()
     load = Load(daemons, path)
     wait_for(
-        "all know of its end",
+        "all daemons know of its end",
         lambda: load.run(0.2) or all(belief_of(d, limited)["rate_limit"] is None for d in daemons),
     )
 
 
-def test_a_limit_that_makes_no_sense_is_none(site: UsersSite) -> None:
+def test_an_invalid_limit_is_ignored(site: UsersSite) -> None:
     daemons = started(site, 1)
     for server, value in zip(site.of(PLAIN), ("-1", "many", "nan", "1, 2"), strict=True):
         server.rate_limit = value
     load = Load(daemons, "/safe/x")
     load.run(2.0)
-    assert load.served_part() >= SERVED_PART
+    assert load.served_fraction() >= SERVED_FRACTION
     assert all(belief_of(daemons[0], server)["rate_limit"] is None for server in site.of(PLAIN))
     assert len(daemons[0].lines("rate limit makes no sense")) == 1
 
 
-USED_PART = 0.75
-"""Part of all limits together that is to be used while callers want more."""
+USED_FRACTION = 0.75
+"""Fraction of all limits together that has to be used while clients demand more."""
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/stream/x"])
-def test_limits_are_used_and_callers_told_when_all_servers_name_one(site: UsersSite, path: str) -> None:
+def test_limits_are_used_and_clients_refused_if_all_servers_have_one(site: UsersSite, path: str) -> None:
     daemons = started(site, 3)
     limited = servers_of(site, path)
     for server in limited:
@@ -185,7 +183,7 @@
     load = Load(daemons, path, pause=0.02)
     load.run(6.0)
     arrived = sum(at >= since for server in limited for _, at in server.arrived)
-    assert arrived >= USED_PART * 4.0 * len(limited) * 6.0
+    assert arrived >= USED_FRACTION * 4.0 * len(limited) * 6.0
     assert excesses_under(load, limited) == []
     refused = [answer for answer in load.answers if answer.status != 200]
     assert {answer.status for answer in refused} <= {503}
@@ -193,7 +191,7 @@
     assert all(site.runs(answer.request) == 0 for answer in refused)
 
 
-def test_limits_hold_when_a_keeper_is_killed(site: UsersSite) -> None:
+def test_limits_hold_when_an_owner_is_killed(site: UsersSite) -> None:
     daemons = started(site, 3)
     limited = site.of(PLAIN)
     for server in limited:
@@ -206,14 +204,14 @@
     load.run(4.0)
     assert excesses_under(load, limited) == []
     arrived = sum(at >= since for server in limited for _, at in server.arrived)
-    assert arrived >= USED_PART * 4.0 * len(limited) * 4.0
+    assert arrived >= USED_FRACTION * 4.0 * len(limited) * 4.0
 
 
-def test_a_later_stage_that_names_a_limit_gets_no_more_either(site: UsersSite) -> None:
+def test_the_limit_of_a_later_stage_is_respected(site: UsersSite) -> None:
     daemons = started(site, 2)
     later = next(replica for replica in site.of(MODEL) if replica.held[0] > 0)
     later.rate_limit = "1"
-    # Reports of stages are asked for when one is suspect.
+    # Reports of stages are requested when one is suspect.
     later.faults.set("stall")
     wait_for(
         "its report has named the limit",
@@ -234,17 +232,17 @@
         if at >= since and later.address in head.tried_paths[request]
     ]
     assert len(over) <= allowed(1.0)
-    assert load.served_part() >= SERVED_PART
+    assert load.served_fraction() >= SERVED_FRACTION
 
 
-@pytest.mark.parametrize("store", ["well", "away"])
-def test_limits_hold_among_many_daemons_whoever_is_frozen_or_joins(site: UsersSite, store: str) -> None:
+@pytest.mark.parametrize("store", ["available", "unavailable"])
+def test_limits_hold_while_daemons_freeze_and_join(site: UsersSite, store: str) -> None:
     daemons = started(site, 8)
     limited = site.of(PLAIN)
     for server in limited:
         server.rate_limit = "2"
     Load(daemons, "/safe/x").run(1.5)
-    if store == "away":
+    if store == "unavailable":
         site.store.faults.set("busy")
     frozen = daemons[0]
     frozen.signal(signal.SIGSTOP)
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -1,4 +1,5 @@
-"""Findings of stages: passed on, believed when enough daemons made them, looked into by few."""
+"""Findings about stages: forwarded, believed once enough daemons made them, and verified by few
+daemons."""
 
 import random
 
@@ -19,94 +20,94 @@
     return Finding(BackendId("s"), MemberId(finder))
 
 
-def test_what_enough_daemons_found_is_believed_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_finding_of_enough_daemons_is_believed_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(reports, "now", lambda: at)
-    heard = Reports()
-    assert heard.add([finding("a")]) == [finding("a")]
-    assert heard.add([finding("a")]) == []
-    assert not heard.enough(BackendId("s"))
+    received = Reports()
+    assert received.add([finding("a")]) == [finding("a")]
+    assert received.add([finding("a")]) == []
+    assert not received.enough(BackendId("s"))
     for n in range(ENOUGH):
-        heard.add([finding(f"b{n}")])
-    assert heard.enough(BackendId("s"))
+        received.add([finding(f"b{n}")])
+    assert received.enough(BackendId("s"))
     at += REPORT_SECONDS + 0.1
-    assert not heard.enough(BackendId("s"))
-    assert heard.add([finding("a")]) == [finding("a")]
+    assert not received.enough(BackendId("s"))
+    assert received.add([finding("a")]) == [finding("a")]
 
 
-def test_findings_beyond_those_believed_are_not_passed_on() -> None:
-    heard = Reports()
-    passed = [n for n in range(20) if heard.add([finding(f"d{n}")])]
-    assert len(passed) == MOST_TOLD
+def test_findings_beyond_those_needed_are_not_forwarded() -> None:
+    received = Reports()
+    forwarded = [n for n in range(20) if received.add([finding(f"d{n}")])]
+    assert len(forwarded) == MOST_TOLD
 
 
-def spread(
-    silent: set[str], daemons: int, passes_on: bool = True
+def make_spreading(
+    silent: set[str], daemons: int, forwards: bool = True
 ) -> tuple[Spreading, list[Findings], Stages]:
-    told: list[Findings] = []
+    sent: list[Findings] = []
     diagnosis, stages, _ = make_diagnosis(silent)
     made = Spreading(
         MemberId("me"),
         diagnosis.fleet,
         diagnosis,
-        lambda findings, but: told.append(findings),
-        lambda: passes_on,
+        lambda findings, but: sent.append(findings),
+        lambda: forwards,
         lambda: daemons,
         random.Random(1),
         Quarantine(b"key", random.Random(1)),
     )
-    return made, told, stages
+    return made, sent, stages
 
 
 def dead(backend: str, finder: str) -> Findings:
     return Findings(dead=[Finding(BackendId(backend), MemberId(finder))])
 
 
-def test_what_one_daemon_found_is_passed_on_once_and_believed_from_two() -> None:
-    made, told, _ = spread(set(), 10_000)
+def test_a_finding_is_forwarded_once_and_believed_from_two_daemons() -> None:
+    made, sent, _ = make_spreading(set(), 10_000)
     server = made.fleet.servers[BackendId("s1")]
     made.merge_findings(OTHER, dead("s1", "a"))
     made.merge_findings(OTHER, dead("s1", "a"))
-    assert told == [dead("s1", "a")]
+    assert sent == [dead("s1", "a")]
     assert not server.suspect
     made.merge_findings(OTHER, dead("s1", "b"))
     assert server.suspect
 
 
-def test_a_follower_passes_nothing_on() -> None:
-    made, told, _ = spread(set(), 10, passes_on=False)
+def test_a_follower_forwards_nothing() -> None:
+    made, sent, _ = make_spreading(set(), 10, forwards=False)
     made.merge_findings(OTHER, dead("s1", "a"))
-    assert told == []
+    assert sent == []
 
 
-@pytest.mark.parametrize(("daemons", "looks"), [(LOOKERS, 200), (10 * LOOKERS, 20)])
-def test_few_of_many_daemons_look_for_themselves(
-    daemons: int, looks: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("daemons", "probes"), [(LOOKERS, 200), (10 * LOOKERS, 20)])
+def test_few_of_many_daemons_probe_for_themselves(
+    daemons: int, probes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made, _, _ = spread(set(), daemons)
-    asked: list[object] = []
-    monkeypatch.setattr(spreading.eventlet, "spawn_n", lambda act, servers: asked.append(servers))
+    made, _, _ = make_spreading(set(), daemons)
+    probed: list[object] = []
+    monkeypatch.setattr(spreading.eventlet, "spawn_n", lambda act, servers: probed.append(servers))
     for _ in range(200):
         made.dead.restarted(BackendId("s1"))
         made.merge_findings(OTHER, dead("s1", "a"))
-    assert looks / 2 <= len(asked) <= looks * 2
+    assert probes / 2 <= len(probed) <= probes * 2
 
 
-def test_that_a_stage_answers_again_is_believed_at_once() -> None:
-    made, told, _ = spread({"s1"}, 10)
+def test_a_recovery_is_believed_at_once() -> None:
+    made, sent, _ = make_spreading({"s1"}, 10)
     server = made.fleet.servers[BackendId("s1")]
     made.diagnosis.probe(list(made.fleet.servers.values()))
     assert server.suspect
-    assert [(finding.backend, finding.finder) for finding in told[0].dead] == [("s1", "me")]
-    assert len(told) == 1
+    assert [(finding.backend, finding.finder) for finding in sent[0].dead] == [("s1", "me")]
+    assert len(sent) == 1
     back = Findings(back=[Finding(server.facts.id, OTHER)])
     made.merge_findings(OTHER, back)
     assert not server.suspect
-    assert told[-1] == back
+    assert sent[-1] == back
 
 
-def test_a_stage_that_went_silent_once_more_is_told_of_again() -> None:
-    made, told, stages = spread({"s1"}, 10)
+def test_a_stage_that_falls_silent_again_is_reported_again() -> None:
+    made, sent, stages = make_spreading({"s1"}, 10)
     servers = list(made.fleet.servers.values())
     for _ in range(2):
         stages.silent = {"s1"}
@@ -115,30 +116,31 @@
         stages.silent = set()
         made.diagnosis.results.clear()
         made.diagnosis.probe_suspects(servers)
-    assert [bool(findings.dead) for findings in told] == [True, False, True, False]
+    assert [bool(findings.dead) for findings in sent] == [True, False, True, False]
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_contrary_words_of_one_stage_die_out(seed: int) -> None:
+def test_contradicting_findings_do_not_circulate_forever(seed: int) -> None:
     rng = random.Random(seed)
     names = [MemberId(f"d{n}") for n in range(9)]
     daemons: dict[MemberId, Spreading] = {}
-    waiting: list[tuple[MemberId, MemberId, Findings]] = []
+    in_transit: list[tuple[MemberId, MemberId, Findings]] = []
     for name in names:
-        daemons[name], _, _ = spread(set(), len(names))
+        daemons[name], _, _ = make_spreading(set(), len(names))
         daemons[name].me = name
         daemons[name].diagnosis.probe = lambda servers: frozenset()  # type: ignore[method-assign]
-        daemons[name].broadcast = lambda found, but, me=name: waiting.extend(  # type: ignore[misc]
+        daemons[name].broadcast = lambda found, but, me=name: in_transit.extend(  # type: ignore[misc]
             (me, other, found) for other in names if other not in (me, but)
         )
     for finder in names[:2]:
         daemons[finder].broadcast(dead("s1", finder), None)
     for finder in names[7:]:
         daemons[finder].broadcast(Findings(back=[Finding(BackendId("s1"), finder)]), None)
-    told = 0
-    while waiting and told < 20_000:
-        sender, to, found = waiting.pop(rng.randrange(len(waiting)))
+    delivered = 0
+    while in_transit and delivered < 20_000:
+        sender, to, found = in_transit.pop(rng.randrange(len(in_transit)))
         daemons[to].merge_findings(sender, found)
-        told += 1
-    # Each of the four words goes once from each daemon to each other one at most, as little besides.
-    assert told <= 4 * len(names) * len(names)
+        delivered += 1
+    # Each of the four findings goes from each daemon to each other one once at most; little else is
+    # sent.
+    assert delivered <= 4 * len(names) * len(names)
--- a/tests/test_totals.py
+++ b/tests/test_totals.py
@@ -1,4 +1,4 @@
-"""Totals: every daemon comes to know what all others have under way, also where not all hear all."""
+"""Totals: every daemon learns what all others have in flight, also if not all hear from all."""
 
 import pytest
 
@@ -30,87 +30,87 @@
     return next(iter(PLANS.values())).readers[HallName(hall)]
 
 
-def assigned() -> dict[MemberId, LoadTotals]:
+def make_totals() -> dict[MemberId, LoadTotals]:
     """Return the totals of daemons that started some time ago."""
-    everybody = {name: LoadTotals(name) for name in HALLS}
-    for name, each in everybody.items():
-        each.started_at -= STARTUP_SECONDS
-        each.assign(HALLS, PLANS[name].readers)
-    return everybody
+    daemons = {name: LoadTotals(name) for name in HALLS}
+    for name, daemon in daemons.items():
+        daemon.started_at -= STARTUP_SECONDS
+        daemon.assign(HALLS, PLANS[name].readers)
+    return daemons
 
 
-def rounds(
-    everybody: dict[MemberId, LoadTotals], own: dict[MemberId, list[ServerLoad]], count: int
+def exchange_heartbeats(
+    daemons: dict[MemberId, LoadTotals], own: dict[MemberId, list[ServerLoad]], count: int
 ) -> None:
-    """Let daemons beat to whom they have streams."""
+    """Have daemons send heartbeats on their streams."""
     order = Order(HALLS)
     for _ in range(count):
-        for name, each in everybody.items():
-            each.update_sums(own[name])
-        for name, each in everybody.items():
-            for other in streams_of(name, order, PLANS[name]) & everybody.keys():
-                sums = each.for_member(other)
+        for name, daemon in daemons.items():
+            daemon.update_sums(own[name])
+        for name, daemon in daemons.items():
+            for other in streams_of(name, order, PLANS[name]) & daemons.keys():
+                sums = daemon.for_member(other)
                 message = beat(loads=sums.own, hall_loads=sums.hall, all_loads=sums.everywhere)
-                everybody[other].merge_heartbeat(name, message)
+                daemons[other].merge_heartbeat(name, message)
 
 
-def test_everybody_learns_the_sum_over_all_halls() -> None:
-    everybody = assigned()
+def test_every_daemon_learns_the_sum_over_all_halls() -> None:
+    daemons = make_totals()
     own = {name: loads(**{f"{HALLS[name]}-head": 3}) for name in HALLS}
-    rounds(everybody, own, 3)
-    for name, each in everybody.items():
+    exchange_heartbeats(daemons, own, 3)
+    for name, daemon in daemons.items():
         counts = {f"{hall}-head": 30 - (3 if HALLS[name] == hall else 0) for hall in "ab"}
-        assert each.other_daemons(own[name]) == by_server(counts)
+        assert daemon.other_daemons(own[name]) == by_server(counts)
 
 
-def test_a_lost_reader_leaves_the_other_one() -> None:
-    everybody = assigned()
+def test_the_other_reader_suffices_if_one_is_lost() -> None:
+    daemons = make_totals()
     own = {name: loads(h=1) for name in HALLS}
-    del everybody[readers("a")[0]]
+    del daemons[readers("a")[0]]
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
-    rounds(everybody, own, 3)
-    assert everybody[follower].other_daemons(own[follower]) == by_server({"h": 18})
+    exchange_heartbeats(daemons, own, 3)
+    assert daemons[follower].other_daemons(own[follower]) == by_server({"h": 18})
 
 
-def test_only_readers_are_told_sums_of_single_daemons() -> None:
-    everybody = assigned()
+def test_only_readers_get_sums_of_single_daemons() -> None:
+    daemons = make_totals()
     own = {name: loads(h=1) for name in HALLS}
-    rounds(everybody, own, 1)
+    exchange_heartbeats(daemons, own, 1)
     first, second = readers("a")
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
-    assert everybody[first].for_member(second).own
-    told = everybody[first].for_member(follower)
-    assert not told.own
-    assert told.everywhere
-    abroad = everybody[first].for_member(readers("b")[0])
-    assert abroad.hall
-    assert not abroad.everywhere
+    assert daemons[first].for_member(second).own
+    sums = daemons[first].for_member(follower)
+    assert not sums.own
+    assert sums.everywhere
+    other_hall = daemons[first].for_member(readers("b")[0])
+    assert other_hall.hall
+    assert not other_hall.everywhere
 
 
-def test_a_daemon_that_has_heard_nobody_takes_its_neighbours_to_be_as_busy(
+def test_a_started_daemon_assumes_its_peers_to_be_as_busy(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # All daemons are back at once after a loss of power, and callers with them.
+    # All daemons restart at once after a power loss, and clients come back with them.
     at = 100.0
     monkeypatch.setattr(totals, "now", lambda: at)
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
-    each = LoadTotals(follower)
-    assert each.other_daemons(loads(h=2)) == {}
-    each.assign(HALLS, PLANS[follower].readers)
-    assert each.other_daemons(loads(h=2)) == by_server({"h": 18})
+    daemon = LoadTotals(follower)
+    assert daemon.other_daemons(loads(h=2)) == {}
+    daemon.assign(HALLS, PLANS[follower].readers)
+    assert daemon.other_daemons(loads(h=2)) == by_server({"h": 18})
     at += STARTUP_SECONDS
-    assert each.other_daemons(loads(h=2)) == {}
+    assert daemon.other_daemons(loads(h=2)) == {}
 
 
-def test_few_daemons_add_up_what_they_hear(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_few_daemons_add_up_what_they_receive(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(totals, "now", lambda: at)
-    each = LoadTotals(MemberId("d0"))
-    each.started_at -= STARTUP_SECONDS
-    each.assign({MemberId(f"d{n}"): HallName("h") for n in range(3)}, {})
-    each.merge_heartbeat(MemberId("d1"), beat(loads=loads(x=2, y=1)))
+    daemon = LoadTotals(MemberId("d0"))
+    daemon.started_at -= STARTUP_SECONDS
+    daemon.assign({MemberId(f"d{n}"): HallName("h") for n in range(3)}, {})
+    daemon.merge_heartbeat(MemberId("d1"), beat(loads=loads(x=2, y=1)))
     at += 1.0
-    each.merge_heartbeat(MemberId("d2"), beat(loads=loads(x=3)))
-    assert each.other_daemons(loads(x=9)) == by_server({"x": 5, "y": 1})
+    daemon.merge_heartbeat(MemberId("d2"), beat(loads=loads(x=3)))
+    assert daemon.other_daemons(loads(x=9)) == by_server({"x": 5, "y": 1})
     at += REPORT_MAX_AGE_SECONDS - 0.5
-    assert each.other_daemons([]) == by_server({"x": 3})
+    assert daemon.other_daemons([]) == by_server({"x": 3})
