--- a/bayglade/division.py
+++ b/bayglade/division.py
@@ -51,10 +51,12 @@
             continue
         if own:
             wants[path] = own
-        parts = _divide_among_siblings(wants, lambda p, top=path: 1.0 if p == top else share_of(p), amount)
+        allocations = _divide_among_siblings(
+            wants, lambda p, top=path: 1.0 if p == top else share_of(p), amount
+        )
         if own:
-            allocated[path] = parts.pop(path)
-        waiting.extend(parts.items())
+            allocated[path] = allocations.pop(path)
+        waiting.extend(allocations.items())
     return allocated
 
 
@@ -62,18 +64,18 @@
     wants: Mapping[GroupPath, float], share_of: ShareOf, amount: float
 ) -> dict[GroupPath, float]:
     """Divide an amount among siblings: those that want less than their share get all they want."""
-    parts: dict[GroupPath, float] = {}
+    allocations: dict[GroupPath, float] = {}
     left = dict(wants)
     while left:
         weight = sum(share_of(path) for path in left)
         small = [path for path, want in left.items() if want <= amount * share_of(path) / weight]
         if not small:
-            parts.update({path: amount * share_of(path) / weight for path in left})
+            allocations.update({path: amount * share_of(path) / weight for path in left})
             break
         for path in small:
-            parts[path] = left.pop(path)
-            amount -= parts[path]
-    return parts
+            allocations[path] = left.pop(path)
+            amount -= allocations[path]
+    return allocations
 
 
 def own_fraction(
--- a/bayglade/quarantine.py
+++ b/bayglade/quarantine.py
@@ -220,11 +220,11 @@
         """
         if begun_at is not None and now() - begun_at > SUSPECT_RUN_SECONDS:
             return
-        end = self.recent_crashes.get(server_key)
-        if end is not None and end.first_at < sent_at:
+        times = self.recent_crashes.get(server_key)
+        if times is not None and times.first_at < sent_at:
             return
         fingerprint = self.fingerprint_for(call)
-        if end is not None:
+        if times is not None:
             self._publish(self._add_crashes([Crash(fingerprint, *server_key)]))
             return
         self.unconfirmed.setdefault(server_key, {})[fingerprint] = now()
@@ -237,9 +237,9 @@
         """
         oldest = now() - COMMON_CAUSE_SECONDS
         evidence = self._evidence_for(call)
-        under_it = evidence.crashed_on if evidence is not None else frozenset()
-        others = [end for server_key, end in self.recent_crashes.items() if server_key not in under_it]
-        return sum(end.last_at >= oldest for end in others) >= MASS_CRASH_COUNT
+        suspected = evidence.crashed_on if evidence is not None else frozenset()
+        others = [times for server_key, times in self.recent_crashes.items() if server_key not in suspected]
+        return sum(times.last_at >= oldest for times in others) >= MASS_CRASH_COUNT
 
     def server_ended(self, server_key: ServerKey) -> None:
         """Record that a server incarnation has definitely ended."""
@@ -344,9 +344,9 @@
             -MAX_SHARED_ON_JOIN:
         ]
         crashes = [
-            Crash(fingerprint, *end, round(at - e.interrupted_at.get(end, at), 3))
+            Crash(fingerprint, *server_key, round(at - e.interrupted_at.get(server_key, at), 3))
             for fingerprint, e in recent
-            for end in e.crashed_on
+            for server_key in e.crashed_on
         ]
         return crashes, [fingerprint for fingerprint, e in recent if e.proven]
 
@@ -423,7 +423,7 @@
         at = now()
         self.trials = {backend: trial for backend, trial in self.trials.items() if trial.until > at}
         for server_key in [
-            s for s, end in self.recent_crashes.items() if at - end.last_at > UNCONFIRMED_SECONDS
+            s for s, times in self.recent_crashes.items() if at - times.last_at > UNCONFIRMED_SECONDS
         ]:
             del self.recent_crashes[server_key]
         self.seen_interruptions = {
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -186,11 +186,11 @@
         owner = self.owner_of(server)
         if owner == self.me:
             return self.grant(server, notice.finder)
-        over = self.next_hop(owner) if owner is not None else None
-        if over is None:
+        hop = self.next_hop(owner) if owner is not None else None
+        if hop is None:
             return QuotaReply(wait=UNREACHABLE_RETRY_SECONDS)
         reply = self.pending.request(
-            lambda number: self.push(over, QuotaRequest(number, notice, hops)), REPLY_TIMEOUT_SECONDS
+            lambda number: self.push(hop, QuotaRequest(number, notice, hops)), REPLY_TIMEOUT_SECONDS
         )
         return reply or QuotaReply(wait=UNREACHABLE_RETRY_SECONDS)
 
@@ -212,10 +212,10 @@
             if (pool := self.pools.get(server.facts.key)) is not None:
                 pool.bucket.put_back(1.0, usable_rate(server))
             return
-        over = self.next_hop(owner) if owner is not None else None
-        if over is not None and hops <= MAX_HOPS:
+        hop = self.next_hop(owner) if owner is not None else None
+        if hop is not None and hops <= MAX_HOPS:
             key = server.facts.key
-            self.push(over, QuotaReturn(key.backend, key.incarnation, hops + 1))
+            self.push(hop, QuotaReturn(key.backend, key.incarnation, hops + 1))
 
 
 def choose_owner(key: ServerKey, members: Iterable[MemberId]) -> MemberId | None:
--- a/bayglade/totals.py
+++ b/bayglade/totals.py
@@ -36,7 +36,7 @@
         self.everywhere = beat.all_loads
 
     def __repr__(self) -> str:
-        return f"<Told {now() - self.at:.1f} s ago>"
+        return f"<LoadReport {now() - self.at:.1f} s ago>"
 
 
 class LoadTotals:
@@ -124,9 +124,9 @@
             if hall == self.halls.get(self.me):
                 continue
             # All readers of a hall report on the same daemons: one of them is enough.
-            others = next((fresh[reader] for reader in readers if reader in fresh), None)
-            if others is not None:
-                _add(sums, others.hall)
+            report = next((fresh[reader] for reader in readers if reader in fresh), None)
+            if report is not None:
+                _add(sums, report.hall)
         return list(sums.values())
 
     def other_daemons(self, own: Iterable[ServerLoad]) -> Loads:
--- a/bayglade/trials.py
+++ b/bayglade/trials.py
@@ -40,10 +40,10 @@
         for server in peers.fleet.usable(call.service)
         if server.facts.held and server.facts.first == 0 and server.facts.id not in avoided
     ]
-    apart = wait_for_isolated(peers, call, heads)
-    if not apart:
+    isolated = wait_for_isolated(peers, call, heads)
+    if not isolated:
         return frozenset()
-    chosen = min(peers.rng.sample(apart, min(2, len(apart))), key=lambda server: server.cached)
+    chosen = min(peers.rng.sample(isolated, min(2, len(isolated))), key=lambda server: server.cached)
     return frozenset(server.facts.id for server in heads if server is not chosen)
 
 
@@ -57,9 +57,9 @@
     until = min(call.deadline, now() + TRIAL_SECONDS)
     while True:
         others = peers.quarantine.servers_on_trial(call)
-        apart = [server for server in servers if server.facts.id not in others]
-        if apart or not servers or now() >= until:
-            return apart
+        isolated = [server for server in servers if server.facts.id not in others]
+        if isolated or not servers or now() >= until:
+            return isolated
         eventlet.sleep(TRIAL_POLL_SECONDS)
 
 
@@ -76,11 +76,11 @@
     """
     if peers.quarantine.resend_delay(call) <= 0:
         return frozenset()
-    looks = [eventlet.spawn(look_at, peers, server) for server in servers]
+    probes = [eventlet.spawn(look_at, peers, server) for server in servers]
     with eventlet.Timeout(PROBE_SECONDS, False):
-        for look in looks:
-            look.wait()
-    ended = [server for server in servers if server.refused]
-    if unknown := [server for server in ended if not server.suspect]:
+        for probe in probes:
+            probe.wait()
+    refusing = [server for server in servers if server.refused]
+    if unknown := [server for server in refusing if not server.suspect]:
         eventlet.spawn_n(peers.diagnosis.probe_again, unknown)
-    return frozenset(server.facts.id for server in ended)
+    return frozenset(server.facts.id for server in refusing)
--- a/bayglade/usage.py
+++ b/bayglade/usage.py
@@ -21,7 +21,7 @@
 
     group: GroupPath
     served: float
-    asked: float
+    demand: float
 
 
 class Usage:
@@ -108,10 +108,10 @@
         """Replace the counts of another daemon by those that it reports."""
         at = now()
         served = self.remote.setdefault(member, {})
-        asked = self.remote_demand.setdefault(member, {})
+        demand = self.remote_demand.setdefault(member, {})
         for row in rows:
             self._set_remote(served, row.group, row.served, at)
-            asked[row.group] = _decayed(row.asked, at)
+            demand[row.group] = _decayed(row.demand, at)
 
     def drop(self, member: MemberId) -> None:
         """Drop the counts of a daemon that is gone."""
