--- a/bayglade/fingerprints.py
+++ b/bayglade/fingerprints.py
@@ -12,8 +12,10 @@
 
 
 class RequestContent(NamedTuple):
-    """The content of a request: all but its id, its deadline and the event after which a stream
-    resumes."""
+    """The content of a request.
+
+    It leaves out the id, the deadline and the event after which a stream resumes.
+    """
 
     group: GroupPath | None
     method: str
--- a/bayglade/quarantine.py
+++ b/bayglade/quarantine.py
@@ -261,11 +261,11 @@
         self._publish([crash for crash in fresh if crash.fingerprint in suspects])
 
     def server_alive(self, server_key: ServerKey, asked_at: float) -> None:
-        """Record that a server incarnation responded: it wasn't its crash that interrupted calls
-        before.
+        """Record that a server incarnation responded, and so hasn't crashed before.
 
         :param server_key: the server incarnation.
-        :param asked_at: when the request to which it responded was sent.
+        :param asked_at: when the request to which it responded was sent; later interruptions stay
+            unconfirmed.
         """
         for known in (self.unconfirmed, self.remote_unconfirmed):
             if (fingerprints := known.get(server_key)) is not None:
@@ -334,8 +334,7 @@
         return True
 
     def snapshot(self) -> tuple[list[Crash], list[Fingerprint]]:
-        """Return the crashes that count, and those of their requests that are proven, for a daemon that
-        joins.
+        """Return the crashes that count, and the proven requests among theirs, for a daemon that joins.
 
         If there are many, only those updated last are returned.
         """
@@ -451,8 +450,10 @@
             self.evidence.pop(fingerprint)
 
     def _evidence_for(self, call: Call) -> Evidence | None:
-        """Return the evidence against a call, if any; computes no fingerprint while there is no
-        evidence at all."""
+        """Return the evidence against a call, if any.
+
+        Computes no fingerprint while there is no evidence against any request.
+        """
         return self.evidence.get(self.fingerprint_for(call)) if self.evidence else None
 
     def _get_or_create(self, fingerprint: Fingerprint) -> Evidence:
@@ -571,8 +572,10 @@
         )
 
     def _clear(self, fingerprints: Iterable[Fingerprint]) -> list[Fingerprint]:
-        """Discount all crashes and interruptions recorded against requests; return those requests that
-        this changes."""
+        """Discount the crashes and interruptions recorded against requests.
+
+        :return: the requests that this changes.
+        """
         cleared = []
         for fingerprint in fingerprints:
             times = [
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -219,8 +219,9 @@
 
 
 def choose_owner(key: ServerKey, members: Iterable[MemberId]) -> MemberId | None:
-    """Choose the daemon that owns a server's limit; the result is the same at all daemons with the same
-    members.
+    """Choose the daemon that owns a server's limit.
+
+    The result is the same at all daemons that know the same members.
 
     :param key: the server incarnation.
     :param members: the daemons that may own it.
--- a/bayglade/spreading.py
+++ b/bayglade/spreading.py
@@ -120,8 +120,10 @@
             eventlet.spawn_after(BATCH_SECONDS, self._send_batch)
 
     def _queue_update(self, crashes: list[Crash], cleared: list[Fingerprint]) -> None:
-        """Queue reports about requests for the next batch, as a crash interrupts many within
-        milliseconds."""
+        """Queue reports about requests for the next batch.
+
+        A crash interrupts many requests within some milliseconds.
+        """
         self._schedule_batch()
         self.crashes += crashes
         self.cleared += cleared
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -228,9 +228,12 @@
 
 
 def test_stages_that_refuse_connections_are_found_dead_at_once() -> None:
-    """Half of the stages ended at once, and those behind the first were found dead only 0.9 s later: a
+    """A refused connection proves that a stage is dead, even if few stages were probed.
+
+    Half of the stages ended at once, and those behind the first were found dead only 0.9 s later. A
     first probe with one silent stage of two was taken for a local fault, though the stage refused
-    connections."""
+    connections.
+    """
     diagnosis, _, servers = make_diagnosis({f"s{n}" for n in range(4)}, 8)
     for server in servers[:4]:
         server.refused = True
--- a/tests/test_harmless_questions.py
+++ b/tests/test_harmless_questions.py
@@ -55,8 +55,7 @@
 
 
 def connect(*daemons: Quarantine) -> None:
-    """Have daemons report everything they find out to each other at once, and forward what is new to
-    them."""
+    """Have daemons report all they find out to each other at once, and forward what is new."""
     for daemon in daemons:
 
         def send_update(
@@ -187,8 +186,7 @@
 def test_daemons_reach_one_verdict_whatever_the_order_of_reports(
     steps: list[tuple[str, int]], begun_at: list[int], answering: int, rng: random.Random
 ) -> None:
-    """Servers crash under one request, while one that all clients send has just begun there at other
-    daemons."""
+    """Servers crash under one request, while a common one has just begun there at other daemons."""
     with pytest.MonkeyPatch.context() as patch:
         clock = Clock()
         patch.setattr(quarantine_module, "now", clock)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,5 +1,4 @@
-"""Lending of retries: loans never exceed the budget in any window, whatever the borrowers and readers
-do."""
+"""Lending of retries: loans never exceed the budget in any window."""
 
 import random
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -346,8 +346,7 @@
 def answer_before_crash_reports(
     clock: Clock, answered: Quarantine, others: list[Quarantine]
 ) -> list[tuple[list[Crash], list[Fingerprint]]]:
-    """Have one daemon answer a request of many clients after servers interrupted it at the other
-    daemons."""
+    """Have one daemon answer a request that servers interrupted at the other daemons before."""
     reports: list[tuple[list[Crash], list[Fingerprint]]] = []
     answered.on_update = lambda crashes, cleared: reports.append((crashes, cleared))
     for number, other in enumerate(others):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -209,8 +209,7 @@
                 daemon.serve()
 
     def max_in_window(self, since: float = 0.0, excused: Sequence[Daemon] = ()) -> int:
-        """Return the most requests in any window, of daemons that know the limit from their own
-        responses."""
+        """Return the most requests in any window, of daemons that saw a response name the limit."""
         times = [
             at
             for at, daemon in self.backend.arrived
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -1,5 +1,4 @@
-"""Findings about stages: forwarded, believed once enough daemons made them, and verified by few
-daemons."""
+"""Findings about stages: how they are forwarded, believed and verified."""
 
 import random
 
