--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -118,7 +118,7 @@
         :param member: the daemon that wants to send a request.
         """
         if server.throttle is None:
-            # The limit has ended, as this daemon knows.
+            # This daemon already knows that the limit has ended.
             return QuotaReply(granted=True)
         at, rate = now(), usable_rate(server)
         pool = self.pools.setdefault(server.facts.key, Pool(rate, at))
