--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("path", ["/safe/x", "/stream/x"])
 @pytest.mark.parametrize("end", ["no longer named", "a restart"])
-def test_a_limit_ends_when_its_server_no_longer_names_it(site: UsersSite, path: str, end: str) -> None:
+def test_a_limit_holds_no_longer_than_its_server_names_it(site: UsersSite, path: str, end: str) -> None:
     daemons = started(site, 2)
     limited = servers_of(site, path)[0]
     limited.rate_limit = "1"
