--- a/bayglade/admission.py
+++ b/bayglade/admission.py
@@ -12,7 +12,7 @@
 from bayglade.backends import Backends, BackendState
 from bayglade.clock import DecayingSum, now
 from bayglade.exceptions import BaygladeError, NoRoute, Overloaded
-from bayglade.fairness import ShareQueue, Waiting
+from bayglade.fairness import QueuedItem, ShareQueue
 from bayglade.ids import BackendId, GroupPath, ModelName, Version
 from bayglade.models import Completion, Route
 from bayglade.retries import jittered_retry_after
@@ -100,7 +100,7 @@
         """
         model_version = (request.model, request.version)
         self.check_coverage(model_version)
-        self.usage.ask(request.group, request.cost)
+        self.usage.note_demand(request.group, request.cost)
         queue = self._queue(model_version)
         if not len(queue):
             route = self.take_route(model_version)
@@ -213,7 +213,7 @@
     def _wait(self, request: Completion, queue: Queue) -> Route:
         grant = Event()
         latest = request.deadline - self._service_seconds(request)
-        waiting = Waiting(request.group, request.priority, request.cost, latest, grant)
+        waiting = QueuedItem(request.group, request.priority, request.cost, latest, grant)
         queue.push(waiting)
         try:
             with eventlet.Timeout(max(0.0, latest - now()), False):
--- a/bayglade/answers.py
+++ b/bayglade/answers.py
@@ -1,110 +1,109 @@
-"""Answers: which requests were answered lately, by what they ask.
+"""Counts of recent answers by request content.
 
-What is answered again and again ends no server by itself. While no server ends, all that
-is worked out of a request is whether the same one was answered before; names follow when
-they are asked for.
+A request that is answered again and again doesn't crash servers by itself. While no server crashes, the
+only work per answer is a lookup by content; fingerprints are computed when they are first needed.
 """
 
 from collections import OrderedDict
 
 from bayglade.calls import Call
-from bayglade.fingerprints import Question, name_question, question_of
+from bayglade.fingerprints import RequestContent, fingerprint_of_content, request_content
 from bayglade.ids import Fingerprint
 
 PROVEN_ANSWERS = 5
-"""Answers after which a request is taken for one that ends no server by itself."""
+"""Answers after which a request is taken not to crash servers by itself."""
 PROVEN_SECONDS = 600.0
-"""For how long that holds after its last answer: as long as ends count."""
+"""How long that holds after the last answer: as long as crashes count."""
 MAX_ANSWERS = 512
-MAX_BYTES = 4_000_000
-"""Size of all bodies that are kept, from which names are worked out."""
+MAX_BODY_BYTES = 4_000_000
+"""Maximum total size of the bodies kept to compute fingerprints from."""
 
 
-class Answered:
-    """How often one request was answered, and when it was last, in monotonic seconds."""
+class AnswerCount:
+    """How often one request was answered, and when it was answered last, in monotonic seconds."""
 
-    __slots__ = ("at", "count", "name")
+    __slots__ = ("answered_at", "count", "fingerprint")
 
     def __init__(self) -> None:
         self.count = 0
-        self.at = float("-inf")
-        self.name: Fingerprint | None = None
-        """Worked out when it is first needed."""
+        self.answered_at = float("-inf")
+        self.fingerprint: Fingerprint | None = None
+        """Computed when it is first needed."""
 
     def __repr__(self) -> str:
         return f"<Answered {self.count} times>"
 
 
 class Answers:
-    """The requests that one daemon saw answered lately, bounded in number and size."""
+    """The requests that one daemon saw answered recently, bounded in number and size."""
 
     def __init__(self) -> None:
-        self.answered: OrderedDict[Question, Answered] = OrderedDict()
-        """The one answered last at the end."""
+        self.answered: OrderedDict[RequestContent, AnswerCount] = OrderedDict()
+        """By content, the one answered last at the end."""
 
-        self.size = 0
-        """Bytes of all bodies."""
+        self.body_bytes = 0
+        """Total size of the bodies kept."""
 
-        self.named: dict[Fingerprint, Answered] = {}
-        self.unnamed: dict[Question, Answered] = {}
+        self.by_fingerprint: dict[Fingerprint, AnswerCount] = {}
+        self.not_fingerprinted: dict[RequestContent, AnswerCount] = {}
 
     def __repr__(self) -> str:
         return f"<Answers to {len(self.answered)} requests>"
 
     def note(self, call: Call, at: float) -> None:
-        """Note a whole answer.
+        """Record a complete answer.
 
         :param call: the request.
-        :param at: now, in monotonic seconds.
+        :param at: the time now, in monotonic seconds.
         """
-        asked = question_of(call)
-        entry = self.answered.get(asked)
+        content = request_content(call)
+        entry = self.answered.get(content)
         if entry is None:
-            entry = self.answered[asked] = self.unnamed[asked] = Answered()
-            self.size += len(asked.body)
-        if at - entry.at > PROVEN_SECONDS:
+            entry = self.answered[content] = self.not_fingerprinted[content] = AnswerCount()
+            self.body_bytes += len(content.body)
+        if at - entry.answered_at > PROVEN_SECONDS:
             entry.count = 0
         entry.count += 1
-        entry.at = at
-        self.answered.move_to_end(asked)
-        while len(self.answered) > MAX_ANSWERS or self.size > MAX_BYTES:
+        entry.answered_at = at
+        self.answered.move_to_end(content)
+        while len(self.answered) > MAX_ANSWERS or self.body_bytes > MAX_BODY_BYTES:
             self._forget_oldest()
 
-    def last_at(self, name: Fingerprint, key: bytes) -> float:
-        """Return when a request was answered last; long ago when that is not known.
+    def last_answered_at(self, fingerprint: Fingerprint, key: bytes) -> float:
+        """Return when a request was last answered; minus infinity if that isn't known.
 
-        :param name: the request.
+        :param fingerprint: the request.
         :param key: key of fingerprints.
         """
-        entry = self._find(name, key)
-        return entry.at if entry is not None else float("-inf")
+        entry = self._find(fingerprint, key)
+        return entry.answered_at if entry is not None else float("-inf")
 
-    def proven(self, name: Fingerprint, key: bytes, at: float) -> bool:
-        """Tell whether a request was answered many times lately.
+    def proven(self, fingerprint: Fingerprint, key: bytes, at: float) -> bool:
+        """Tell whether a request was answered many times recently.
 
-        :param name: the request.
+        :param fingerprint: the request.
         :param key: key of fingerprints.
-        :param at: now, in monotonic seconds.
+        :param at: the time now, in monotonic seconds.
         """
-        entry = self._find(name, key)
-        if entry is None or at - entry.at > PROVEN_SECONDS:
+        entry = self._find(fingerprint, key)
+        if entry is None or at - entry.answered_at > PROVEN_SECONDS:
             return False
         return entry.count >= PROVEN_ANSWERS
 
-    def rename(self) -> None:
-        """Forget the names, as the key of fingerprints has changed."""
-        self.named = {}
-        self.unnamed = dict(self.answered)
+    def forget_fingerprints(self) -> None:
+        """Drop all fingerprints, as their key has changed."""
+        self.by_fingerprint = {}
+        self.not_fingerprinted = dict(self.answered)
 
-    def _find(self, name: Fingerprint, key: bytes) -> Answered | None:
-        unnamed, self.unnamed = self.unnamed, {}
-        for asked, entry in unnamed.items():
-            entry.name = name_question(asked, key)
-            self.named[entry.name] = entry
-        return self.named.get(name)
+    def _find(self, fingerprint: Fingerprint, key: bytes) -> AnswerCount | None:
+        pending, self.not_fingerprinted = self.not_fingerprinted, {}
+        for content, entry in pending.items():
+            entry.fingerprint = fingerprint_of_content(content, key)
+            self.by_fingerprint[entry.fingerprint] = entry
+        return self.by_fingerprint.get(fingerprint)
 
     def _forget_oldest(self) -> None:
-        asked, entry = self.answered.popitem(last=False)
-        self.size -= len(asked.body)
-        if self.unnamed.pop(asked, None) is None and entry.name is not None:
-            del self.named[entry.name]
+        content, entry = self.answered.popitem(last=False)
+        self.body_bytes -= len(content.body)
+        if self.not_fingerprinted.pop(content, None) is None and entry.fingerprint is not None:
+            del self.by_fingerprint[entry.fingerprint]
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -101,10 +101,10 @@
         self.fleet.on_restart.append(self.links.close_idle)
         self.control = platform.Engines(self.links)
         self.diagnosis = Diagnosis(self.fleet, self.control, self.rng)
-        self.diagnosis.rests = self.links.has_idle
-        self.diagnosis.drop = self.links.close_idle
-        self.diagnosis.distrust = self.links.distrust_before
-        self.diagnosis.by_turns = Mechanism.TURNS not in config.without
+        self.diagnosis.has_idle = self.links.has_idle
+        self.diagnosis.close_idle = self.links.close_idle
+        self.diagnosis.distrust_idle = self.links.distrust_before
+        self.diagnosis.in_rotation = Mechanism.TURNS not in config.without
         self.document_feed = Feed(
             self.store,
             platform.OPERATOR_TABLE,
@@ -202,7 +202,7 @@
         for task in (
             self.peering.run,
             self.loader.run,
-            self.diagnosis.recheck,
+            self.diagnosis.recheck_forever,
             self.presence.run,
             self.wait_queues.run,
             self._run_housekeeping,
--- a/bayglade/paths.py
+++ b/bayglade/paths.py
@@ -110,7 +110,7 @@
         at = now()
         limited = [s for s in self.fleet.of_service(service) if s.throttle is not None and s.healthy(at)]
         near = [server for server in limited if server.facts.hall == self.hall]
-        self.fleet.rate_limits.want(near or limited)
+        self.fleet.rate_limits.request_tokens(near or limited)
 
     def _needs_comparison(self, own: Path) -> bool:
         """Return whether other halls should be compared with a path of the own hall."""
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -24,15 +24,15 @@
 from bayglade.exceptions import PlatformUnavailable
 from bayglade.fanout import Fanout
 from bayglade.feeds import Feed
-from bayglade.fingerprints import key_of
+from bayglade.fingerprints import derive_key
 from bayglade.freshness import wait_within
 from bayglade.ids import MemberId
 from bayglade.intake import Intake
-from bayglade.lending import POOLED_PART, Pools
+from bayglade.lending import POOLED_FRACTION, RetryPools
 from bayglade.listener import listen
 from bayglade.logs import event
 from bayglade.lost_rows import KEEP_SECONDS, recover, stored_members, write_delay
-from bayglade.quotas import Quotas, choose_keeper
+from bayglade.quotas import Quotas, choose_owner
 from bayglade.readers import LOST_SECONDS, Duty, Lost, Order, Plan, make_plan, streams_of
 from bayglade.relay import RelayContext
 from bayglade.retries import BUDGET_FLOOR, RetryBudget
@@ -41,7 +41,7 @@
 from bayglade.servers import Server
 from bayglade.spreading import Spreading
 from bayglade.stops import read_stops, remove_stop, write_stop
-from bayglade.totals import Totals
+from bayglade.totals import LoadTotals
 from bayglade.usage import Usage
 
 ROSTER_BOUND = 50.0
@@ -106,8 +106,8 @@
         host = parse_address(config.callers).host
         self.address = f"{host}:{config.peer_ports.partition(',')[0]}"
         self.fanout = Fanout({**feeds, table: self.feed}, proof, self._push, self.address)
-        self.totals = Totals(config.member)
-        self.pools = Pools(self._readers, self._push, config.retry_window_seconds)
+        self.totals = LoadTotals(config.member)
+        self.pools = RetryPools(self._readers, self._push, config.retry_window_seconds)
         self.spreading = Spreading(
             config.member,
             peers.fleet,
@@ -146,7 +146,7 @@
         self.roster = join(self.store, self.feed.table, self.config.member, self._row())
         assert self.roster.secret is not None
         self.membership = self._membership(self.roster.secret)
-        self.peers.quarantine.use_key(key_of(self.roster.secret))
+        self.peers.quarantine.use_key(derive_key(self.roster.secret))
         eventlet.spawn_n(self.membership.serve, listening)
         event("INFO", "joined", address=self.address, members=len(self.roster.members))
         self._assign()
@@ -196,11 +196,11 @@
         hall = server.facts.hall
         if len(self.order.site) > FULL_MESH:
             readers = self.plan.readers
-            return choose_keeper(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
+            return choose_owner(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
         gone = self.lost.since.keys() | self.membership.stopping()
         live = [member for member in self.order.site if member not in gone]
         near = [member for member in live if self.order.halls[member] == hall]
-        return choose_keeper(server.facts.key, near or live)
+        return choose_owner(server.facts.key, near or live)
 
     def _route(self, member: MemberId) -> MemberId | None:
         """Return the gateway over which another one is reached: itself, or a reader of the own hall."""
@@ -255,7 +255,9 @@
         quarantine = self.peers.quarantine
         for name, evidence in quarantine.unwritten():
             evidence.write_at = now() + STOP_RETRY_SECONDS
-            eventlet.spawn_n(self._change_stop, partial(write_stop, self.store, name, set(evidence.ends)))
+            eventlet.spawn_n(
+                self._change_stop, partial(write_stop, self.store, name, set(evidence.crashed_on))
+            )
         over = quarantine.take_lifts()
         if self.plan.readers.get(self.config.hall, ())[:1] == (self.config.member,):
             over += quarantine.expired()
@@ -299,19 +301,19 @@
         if not members:
             # Nobody is known yet; there may be many.
             return min(BUDGET_FLOOR, bound)
-        kept = 1.0 - POOLED_PART if self.totals.readers else 1.0
+        kept = 1.0 - POOLED_FRACTION if self.totals.readers else 1.0
         return kept * bound / members
 
     def _pooled(self) -> float:
         """Return the part of the bound that this gateway lends, as a reader."""
-        if not self.totals.reading():
+        if not self.totals.is_reader():
             return 0.0
         readers = sum(len(names) for names in self.totals.readers.values())
-        return POOLED_PART * BUDGET_PART * self.config.retry_floor / readers
+        return POOLED_FRACTION * BUDGET_PART * self.config.retry_floor / readers
 
     def _readers(self) -> Sequence[MemberId]:
         """Return the readers from whom retries are borrowed: those of the own hall."""
-        return () if self.totals.reading() else self.totals.readers.get(self.config.hall, ())
+        return () if self.totals.is_reader() else self.totals.readers.get(self.config.hall, ())
 
     def _membership(self, secret: bytes) -> Membership:
         membership = Membership(
@@ -325,30 +327,30 @@
             self._heard_beat,
             self.rng,
         )
-        membership.on_due = lambda: self.totals.add_up(self._loads())
+        membership.on_due = lambda: self.totals.update_sums(self._loads())
         membership.sums_for = self.totals.for_member
         membership.on_poll = self._heard_poll
         membership.on_updates = self.fanout.heard_updates
         membership.on_unable = self.fanout.heard_unable
-        membership.on_findings = self.spreading.heard
-        membership.greet = self.spreading.greeting
-        membership.on_borrow = self.pools.heard_borrow
-        membership.on_lent = self.pools.heard_lent
-        membership.on_quota_request = self.quotas.heard_request
-        membership.on_quota_reply = self.quotas.heard_reply
-        membership.on_quota_return = self.quotas.heard_return
+        membership.on_findings = self.spreading.merge_findings
+        membership.greet = self.spreading.initial_findings
+        membership.on_borrow = self.pools.handle_borrow
+        membership.on_lent = self.pools.handle_lent
+        membership.on_quota_request = self.quotas.handle_request
+        membership.on_quota_reply = self.quotas.handle_reply
+        membership.on_quota_return = self.quotas.handle_return
         membership.fetch_after = FETCH_AFTER_SECONDS if self.intake.caught_up else 0.0
         membership.caught_up = lambda: self.intake.caught_up
-        self.peers.paths.remote_loads = lambda: self.totals.elsewhere(self._loads())
-        self.peers.paths.daemon_count = lambda: self.totals.neighbours() + 1
-        self.peers.diagnosis.daemons = membership.count
+        self.peers.paths.remote_loads = lambda: self.totals.other_daemons(self._loads())
+        self.peers.paths.daemon_count = lambda: self.totals.count_hall_peers() + 1
+        self.peers.diagnosis.count_daemons = membership.count
         self.peers.paths.pipes.daemons = membership.count
         return membership
 
     def _take_roster(self, changes: Changes, whole: bool) -> None:
         restored = whole and was_restored(self.roster_position, changes.position)
         self.roster_position = changes.position
-        self.peers.quarantine.take_stored(read_stops(changes.rows), whole, restored)
+        self.peers.quarantine.merge_stored(read_stops(changes.rows), whole, restored)
         before, self.roster = self.roster, read_roster(changes.rows, Roster() if whole else self.roster)
         if self.membership is None:
             return
@@ -394,7 +396,7 @@
             return
         event("WARNING", "secret changed")
         membership.secret = stored
-        self.peers.quarantine.use_key(key_of(stored))
+        self.peers.quarantine.use_key(derive_key(stored))
 
     def _assign(self) -> None:
         """Take in who the other gateways are."""
@@ -435,9 +437,9 @@
         self.membership.sync(addresses, wanted)
 
     def _heard_beat(self, member: MemberId, beat: wire.Heartbeat) -> None:
-        self.totals.hear(member, beat)
+        self.totals.merge_heartbeat(member, beat)
         self.catch_up.hear(member, beat.revision, beat.caught_up)
-        self.spreading.heard_of(load.key for load in beat.loads)
+        self.spreading.probe_restarted(load.key for load in beat.loads)
 
     def _heard_poll(self, member: MemberId, poll: wire.Poll) -> None:
         if member not in self.roster.members:
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -183,7 +183,7 @@
 
     def can_retry(self, context: RelayContext) -> bool:
         """Return whether the call may be sent once more, without charging the retry budget."""
-        if self.send_count >= MAX_SENDS or context.quarantine.holds(self.call):
+        if self.send_count >= MAX_SENDS or context.quarantine.is_stopped(self.call):
             return False
         return self.has_retry_budget(context)
 
@@ -251,10 +251,10 @@
     A server that was probed just as it crashed may only have closed the probe's connection, so servers
     whose state is not certain are probed once more.
     """
-    seconds = context.quarantine.gather_seconds(call)
+    seconds = context.quarantine.resend_delay(call)
     if seconds <= 0:
         return
-    for start in context.quarantine.unsure_of(call):
+    for start in context.quarantine.unconfirmed_servers(call):
         if (server := context.fleet.find_current(start)) is not None:
             eventlet.spawn_n(probe_server, context, server)
     _wait_for_reports(min(seconds, max(0.0, call.seconds_left())))
@@ -287,4 +287,4 @@
     """
     if error.outcome is Outcome.NOT_RUN:
         return None
-    return context.quarantine.name(call)
+    return context.quarantine.fingerprint_for(call)
--- a/bayglade/router.py
+++ b/bayglade/router.py
@@ -9,7 +9,7 @@
 from bayglade.claims import Claim, Claims, StoredAnswer
 from bayglade.clock import now
 from bayglade.completions import Answer, Completions
-from bayglade.division import own_part
+from bayglade.division import own_fraction
 from bayglade.engines import Engines
 from bayglade.exceptions import (
     BackendError,
@@ -82,9 +82,9 @@
         :param heard: number of daemons heard from, including this one.
         """
         at = now()
-        fraction = own_part(
-            self.usage.asked_here(at),
-            self.usage.asked_everywhere(at),
+        fraction = own_fraction(
+            self.usage.local_demand(at),
+            self.usage.total_demand(at),
             self.admission.share_of_group,
             self.usage.total(ROOT, at) / USAGE_TAU * CAPACITY_MARGIN,
             heard,
@@ -136,13 +136,13 @@
         """Count the request against all limits; release its claim if it fails without having run."""
         try:
             self.trust.check()
-            self.limits.enter(self.tree, request.group, cost, self.trust.member_count())
+            self.limits.acquire(self.tree, request.group, cost, self.trust.member_count())
             self.active_requests[request.id] = request
             try:
                 yield
             finally:
                 del self.active_requests[request.id]
-                self.limits.leave(request.group)
+                self.limits.give_back(request.group)
         except BaygladeError as error:
             if claim is not None and error.outcome is Outcome.NOT_RUN:
                 self.claims.release(claim)
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -202,7 +202,7 @@
 
     :param across_halls: whether servers of other halls may be used.
     """
-    if now() < run.next_move_at or context.quarantine.holds(call):
+    if now() < run.next_move_at or context.quarantine.is_stopped(call):
         return None
     return context.paths.detour(run.path, call.service, pipeline, run.avoided, across_halls)
 
@@ -284,10 +284,10 @@
     A call crashes at most one of its stages. Where several servers crash at once, a stage behind the first
     has probably crashed before the request was sent, and recording it would hold back innocent requests.
     """
-    if run.crash_recorded or (stage is not run.path.servers[0] and context.quarantine.many_ended(call)):
+    if run.crash_recorded or (stage is not run.path.servers[0] and context.quarantine.mass_crash(call)):
         return
     run.crash_recorded = True
-    context.quarantine.broke_off(call, stage.facts.key, run.first_event_at, run.path_since)
+    context.quarantine.note_interrupted(call, stage.facts.key, run.first_event_at, run.path_since)
 
 
 def _fail_or_stay(
@@ -314,7 +314,7 @@
 
 def _may_stay(context: RelayContext, call: Call) -> bool:
     """Return whether a stream that has begun may wait until others hold a terminated stage's layers."""
-    return Mechanism.BEGUN_WAIT not in context.without and not context.quarantine.holds(call)
+    return Mechanism.BEGUN_WAIT not in context.without and not context.quarantine.is_stopped(call)
 
 
 def _can_resend(context: RelayContext, call: Call, pipeline: Pipeline, run: Run) -> bool:
@@ -352,7 +352,7 @@
     """Return whether a stream is stalled although its first stage reports no queue and no stall of it."""
     if now() - run.last_event_at < SILENT_CONNECTION_SECONDS:
         return False
-    finding = context.diagnosis.findings.get(run.path.servers[0].facts.id)
+    finding = context.diagnosis.results.get(run.path.servers[0].facts.id)
     report = finding.report if finding is not None else None
     return report is not None and report.queued == 0 and call.head.id not in report.stalled
 
@@ -367,7 +367,7 @@
     known = frozenset(s.facts.id for s in run.path.servers if s.suspect)
     if known or now() < run.next_probe_at:
         return known
-    dead = context.diagnosis.look(run.path.servers, call.head.id)
+    dead = context.diagnosis.diagnose(run.path.servers, call.head.id)
     if not dead:
         run.note_probed(timeout)
     return dead
--- a/bayglade/sending.py
+++ b/bayglade/sending.py
@@ -40,7 +40,7 @@
     """
     facts = server.facts
     check_may_send(context, call, server)
-    context.quarantine.sent(call, facts.id)
+    context.quarantine.note_sent(call, facts.id)
     max_idle = MAX_IDLE_AT_MOST_ONCE if call.at_most_once else DEFAULT_IDLE_SECONDS
     exchange = open_exchange(context.pool, facts.id, facts.address, max_idle)
     try:
@@ -147,4 +147,4 @@
         context.fleet.set_rest(server, head.rest_seconds)
     if head.rate_limit is not None or head.authentic:
         # A missing limit counts only in an answer that the server vouches for.
-        context.fleet.rate_limits.answered(server, head.rate_limit, sent_at, "an answer")
+        context.fleet.rate_limits.note_answer(server, head.rate_limit, sent_at, "an answer")
--- a/bayglade/server_termination.py
+++ b/bayglade/server_termination.py
@@ -32,7 +32,7 @@
 
     def unlisted(server: Server) -> None:
         facts = server.facts
-        if facts.key in quarantine.unsure:
+        if facts.key in quarantine.unconfirmed:
             eventlet.spawn_n(probe_unlisted, server)
 
     def probe_unlisted(server: Server) -> None:
@@ -42,7 +42,7 @@
 
     def answered(server: Server, asked_at: float) -> None:
         server.connection_refused = False
-        quarantine.server_lives(server.facts.key, asked_at)
+        quarantine.server_alive(server.facts.key, asked_at)
 
     fleet.on_ended = quarantine.server_ended
     fleet.on_unlisted = unlisted
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -32,7 +32,7 @@
 from bayglade.sending import read_answer_head, send
 from bayglade.servers import Server
 from bayglade.sse import EventSplitter, event_id
-from bayglade.trials import ended_stages, heads_to_avoid
+from bayglade.trials import heads_to_avoid, refusing_stages
 from bayglade.upstream import Exchange
 
 MAX_WAIT_SECONDS = 1.5
@@ -126,7 +126,7 @@
                 break
             avoided = frozenset()
             continue
-        if ended := ended_stages(context, call, path.servers):
+        if ended := refusing_stages(context, call, path.servers):
             path.release()
             # Counted like any unreachable server. Otherwise one that is not suspect yet is chosen forever.
             attempts.unreachable_count += 1
@@ -296,7 +296,7 @@
         call.deadline,
         restricted,
         begun=True,
-        should_give_up=lambda: context.quarantine.holds(call),
+        should_give_up=lambda: context.quarantine.is_stopped(call),
     )
     event(
         "INFO",
@@ -310,7 +310,7 @@
 
 
 def _record_answer(context: RelayContext, call: Call, delivery: Delivery, attempts: Attempts) -> None:
-    context.quarantine.answered(call)
+    context.quarantine.note_answered(call)
     if delivery.first_event_seconds is not None:
         context.metrics.observe("first_event_seconds", delivery.first_event_seconds)
         context.metrics.observe("longest_gap_seconds", delivery.longest_gap)
@@ -445,7 +445,7 @@
             if error.rest_seconds is not None:
                 context.fleet.set_rest(server, error.rest_seconds)
             # The answer names the stage that did not take part, but not why: it may be dead.
-            eventlet.spawn_n(context.diagnosis.examine, [server])
+            eventlet.spawn_n(context.diagnosis.probe, [server])
         return frozenset({server.facts.id})
     if isinstance(error, BackendUnwilling):
         return frozenset({BackendId(error.peer)})
@@ -455,7 +455,7 @@
         context.fleet.mark_suspect(head, error.code)
     elif not head.suspect:
         # A terminating server breaks off its connections. Probe it now, before others run into it.
-        eventlet.spawn_n(context.diagnosis.examine_anew, [head])
+        eventlet.spawn_n(context.diagnosis.probe_again, [head])
     dead = {server.facts.id for server in path.servers if server.suspect}
     return frozenset(dead) or frozenset({head.facts.id})
 
--- a/bayglade/totals.py
+++ b/bayglade/totals.py
@@ -1,9 +1,9 @@
-"""Totals: what all daemons have under way on each server that holds layers.
+"""Totals of the requests in flight on each server that holds layers, over all daemons.
 
-Daemons tell their own sums with each heartbeat. Where there are too many for
-everybody to hear everybody, the readers of a hall (see :mod:`bayglade.readers`)
-add up what they hear of it and tell each other and their hall the sums. A sum
-is some seconds old at most; whoever was not heard lately is left out.
+Daemons send their own sums with each heartbeat. In large sites, where not every daemon hears from every
+other, the readers of a hall (see :mod:`bayglade.readers`) add up what they receive from it, and send
+the sums to each other and to their hall. A sum is a few seconds old at most; daemons not heard from
+recently are left out.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,20 +12,20 @@
 from bayglade.entries.wire import Heartbeat, ServerLoad, Sums
 from bayglade.ids import HallName, MemberId, ServerKey
 
-FRESH_SECONDS = 3.5
-"""How long what a daemon told sums: as long as it is taken to live."""
+REPORT_MAX_AGE_SECONDS = 3.5
+"""How long a daemon's report counts: as long as the daemon is considered live without another one."""
 
-UNHEARD_SECONDS = 3.0
-"""For how long after its start a daemon takes the others of its hall to have at least as much under way
-as itself. After a loss of power of all, callers come back before the first sums do, and each daemon would
-find the quickest way of its hall empty."""
+STARTUP_SECONDS = 3.0
+"""How long after its start a daemon assumes that every other daemon of its hall has at least as much in
+flight as itself. When all restart after a power loss, clients come back before the first sums arrive,
+and each daemon would otherwise take the fastest path of its hall to be idle."""
 
 Loads = dict[ServerKey, ServerLoad]
-"""Sums by server; those of an earlier start of a server stand apart from those of the next."""
+"""Sums by server incarnation: those of earlier incarnations are kept apart."""
 
 
-class Told:
-    """What one daemon told last; the time is monotonic."""
+class LoadReport:
+    """The last report of one daemon, with the monotonic time of its arrival."""
 
     __slots__ = ("at", "everywhere", "hall", "own")
 
@@ -36,11 +36,11 @@
         self.everywhere = beat.all_loads
 
     def __repr__(self) -> str:
-        return f"<Told {now() - self.at:.1f} s ago>"
+        return f"<LoadReport {now() - self.at:.1f} s ago>"
 
 
-class Totals:
-    """The sums as one daemon hears and tells them.
+class LoadTotals:
+    """The sums that one daemon receives and sends.
 
     :param me: this daemon.
     """
@@ -50,46 +50,46 @@
         self.halls: dict[MemberId, HallName] = {}
         self.readers: Mapping[HallName, Sequence[MemberId]] = {}
         self.sums = Sums()
-        """What was told with the last heartbeat."""
+        """The sums sent with the last heartbeat."""
 
-        self.told: dict[MemberId, Told] = {}
+        self.reports: dict[MemberId, LoadReport] = {}
         self.started_at = now()
 
     def __repr__(self) -> str:
-        return f"<Totals of {len(self.told)} daemons>"
+        return f"<LoadTotals of {len(self.reports)} daemons>"
 
     def assign(
         self, daemons: Mapping[MemberId, HallName], readers: Mapping[HallName, Sequence[MemberId]]
     ) -> None:
-        """Take in who the daemons are.
+        """Set the daemons and their roles.
 
         :param daemons: all daemons with their halls.
-        :param readers: the readers of each hall; none where everybody hears everybody.
+        :param readers: the readers of each hall; empty if every daemon hears from every other.
         """
         self.halls = dict(daemons)
         self.readers = readers
-        self.told = {member: told for member, told in self.told.items() if member in daemons}
+        self.reports = {member: report for member, report in self.reports.items() if member in daemons}
 
-    def hear(self, member: MemberId, beat: Heartbeat) -> None:
-        """Take in what a daemon tells."""
-        self.told[member] = Told(beat)
+    def merge_heartbeat(self, member: MemberId, beat: Heartbeat) -> None:
+        """Store the sums that a daemon sent."""
+        self.reports[member] = LoadReport(beat)
 
-    def reading(self) -> bool:
+    def is_reader(self) -> bool:
         """Tell whether this daemon adds up the sums of its hall."""
         return self.me in self.readers.get(self.halls.get(self.me, HallName("")), [])
 
-    def add_up(self, own: list[ServerLoad]) -> None:
-        """Work out what to tell until the next time.
+    def update_sums(self, own: list[ServerLoad]) -> None:
+        """Compute the sums to send until the next update.
 
         :param own: the sums of this daemon.
         """
-        if self.reading():
-            self.sums = Sums(own, self.hall_sum(own), self.everywhere(own))
+        if self.is_reader():
+            self.sums = Sums(own, self.hall_sum(own), self.site_sum(own))
         else:
             self.sums = Sums(own)
 
     def for_member(self, member: MemberId) -> Sums:
-        """Return what another daemon needs of the sums.
+        """Return the sums that another daemon needs.
 
         :param member: the daemon.
         """
@@ -102,67 +102,67 @@
         return Sums([], self.sums.hall, [])
 
     def hall_sum(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
-        """Return the sum over this daemon's hall, its own sums among it.
+        """Return the sums of this daemon's hall, including its own.
 
         :param own: the sums of this daemon.
         """
         hall = self.halls.get(self.me)
         sums = _add({}, own)
-        for member, told in self._fresh().items():
+        for member, report in self._fresh_reports().items():
             if self.halls.get(member) == hall:
-                _add(sums, told.own)
+                _add(sums, report.own)
         return list(sums.values())
 
-    def everywhere(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
-        """Return the sum over all halls, as far as readers tell of them.
+    def site_sum(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
+        """Return the sums of all halls, as far as readers have reported them.
 
         :param own: the sums of this daemon.
         """
         sums = _add({}, self.hall_sum(own))
-        fresh = self._fresh()
+        fresh = self._fresh_reports()
         for hall, readers in self.readers.items():
             if hall == self.halls.get(self.me):
                 continue
-            # Readers of one hall tell of the same daemons: one of them is enough.
-            heard = next((fresh[reader] for reader in readers if reader in fresh), None)
-            if heard is not None:
-                _add(sums, heard.hall)
+            # All readers of a hall report on the same daemons: one of them is enough.
+            report = next((fresh[reader] for reader in readers if reader in fresh), None)
+            if report is not None:
+                _add(sums, report.hall)
         return list(sums.values())
 
-    def elsewhere(self, own: Iterable[ServerLoad]) -> Loads:
-        """Return what the other daemons have under way.
+    def other_daemons(self, own: Iterable[ServerLoad]) -> Loads:
+        """Return what the other daemons have in flight.
 
-        :param own: the sums of this daemon, which the sums of its readers contain.
+        :param own: the sums of this daemon, which the sums of its readers include.
         """
         own = list(own)
-        heard = self._heard(own)
-        neighbours = self.neighbours()
-        if neighbours and now() - self.started_at < UNHEARD_SECONDS:
-            _raise_to(heard, own, neighbours)
-        return heard
-
-    def neighbours(self) -> int:
-        """Return how many other daemons the own hall has."""
+        others = self._sum_of_others(own)
+        peers = self.count_hall_peers()
+        if peers and now() - self.started_at < STARTUP_SECONDS:
+            _raise_to_multiple(others, own, peers)
+        return others
+
+    def count_hall_peers(self) -> int:
+        """Return the number of other daemons in this daemon's hall."""
         own = self.halls.get(self.me)
         return sum(1 for member, hall in self.halls.items() if hall == own and member != self.me)
 
-    def _heard(self, own: Iterable[ServerLoad]) -> Loads:
-        fresh = self._fresh()
+    def _sum_of_others(self, own: Iterable[ServerLoad]) -> Loads:
+        fresh = self._fresh_reports()
         mine = _add({}, own)
-        if self.reading():
-            return _without(_add({}, self.everywhere(own)), mine)
+        if self.is_reader():
+            return _subtract(_add({}, self.site_sum(own)), mine)
         readers = self.readers.get(self.halls.get(self.me, HallName("")), [])
         sums = next((fresh[r].everywhere for r in readers if r in fresh), None)
         if sums is not None:
-            return _without(_add({}, sums), mine)
-        heard: Loads = {}
-        for told in fresh.values():
-            _add(heard, told.own)
-        return heard
+            return _subtract(_add({}, sums), mine)
+        others: Loads = {}
+        for report in fresh.values():
+            _add(others, report.own)
+        return others
 
-    def _fresh(self) -> dict[MemberId, Told]:
-        oldest = now() - FRESH_SECONDS
-        return {member: told for member, told in self.told.items() if told.at >= oldest}
+    def _fresh_reports(self) -> dict[MemberId, LoadReport]:
+        oldest = now() - REPORT_MAX_AGE_SECONDS
+        return {member: report for member, report in self.reports.items() if report.at >= oldest}
 
 
 def _add(sums: Loads, loads: Iterable[ServerLoad]) -> Loads:
@@ -174,8 +174,8 @@
     return sums
 
 
-def _raise_to(loads: Loads, own: Iterable[ServerLoad], times: int) -> None:
-    """Raise sums to at least so many times the own ones."""
+def _raise_to_multiple(loads: Loads, own: Iterable[ServerLoad], times: int) -> None:
+    """Raise sums to at least a multiple of the daemon's own."""
     for load in own:
         known = loads.get(load.key)
         heads, cached = load.heads * times, load.cached * times
@@ -188,8 +188,8 @@
     return ServerLoad(load.backend, heads, cached, load.incarnation)
 
 
-def _without(sums: Loads, own: Loads) -> Loads:
-    """Take the own part out of sums, which may be older than it."""
+def _subtract(sums: Loads, own: Loads) -> Loads:
+    """Subtract a daemon's own part from sums, which may be older than it."""
     left: Loads = {}
     for key, total in sums.items():
         mine = own.get(key)
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -14,7 +14,7 @@
 
 from bayglade.calls import Call
 from bayglade.clock import DecayingSum, now
-from bayglade.fairness import ShareOf, ShareQueue, Waiting
+from bayglade.fairness import QueuedItem, ShareOf, ShareQueue
 from bayglade.ids import ServiceName
 from bayglade.reservations import Reservation
 from bayglade.settings import ROOT
@@ -135,7 +135,7 @@
         queue = self._queue(call.service)
         waiter = Waiter(try_reserve, restricted, should_give_up)
         priority = BEGUN_PRIORITY if begun else call.priority
-        waiting = Waiting(call.group or ROOT, priority, token_cost(call), until, waiter)
+        waiting = QueuedItem(call.group or ROOT, priority, token_cost(call), until, waiter)
         queue.push(waiting)
         if not self.became_nonempty.ready():
             self.became_nonempty.send()
@@ -169,7 +169,7 @@
         others that have room.
         """
         queue = self._queue(service)
-        skipped: list[Waiting[Waiter]] = []
+        skipped: list[QueuedItem[Waiter]] = []
         while len(skipped) <= MAX_SKIPPED and (waiting := queue.pop()) is not None:
             if waiting.entry.should_give_up():
                 waiting.entry.granted.send(None)
@@ -182,7 +182,7 @@
             if not waiting.entry.restricted:
                 break
         for waiting in reversed(skipped):
-            queue.restore(waiting)
+            queue.put_back(waiting)
 
     def run(self) -> None:
         """Poll for places while requests wait; never returns."""
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -20,7 +20,7 @@
 from bayglade.reservations import Reservation
 from bayglade.sending import read_answer_head, send
 from bayglade.servers import Server
-from bayglade.trials import wait_apart
+from bayglade.trials import wait_for_isolated
 
 ANSWER_TIMEOUT_FRACTION = 0.6
 """Fraction of the latency objective after which a repeatable call is tried at another server."""
@@ -79,7 +79,7 @@
     if answer is None:
         raise attempts.final_error(context.rng)
     if answer.status < 500:
-        context.quarantine.answered(call)
+        context.quarantine.note_answered(call)
     connection.send_response(answer.status, answer.headers, answer.content)
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.send_count)
 
@@ -162,12 +162,12 @@
     """Choose the untried server that is least busy by this daemon's own count."""
     at = now()
     servers = [s for s in context.fleet.healthy(call.service) if s.facts.id not in attempts.tried]
-    context.fleet.rate_limits.want(servers)
+    context.fleet.rate_limits.request_tokens(servers)
     fitting = [server for server in servers if server.available_at(at) <= at]
     if not fitting or attempts.allowed_servers() is not None:
         return None
-    if context.quarantine.suspects(call):
-        fitting = wait_apart(context, call, fitting) or fitting
+    if context.quarantine.is_suspect(call):
+        fitting = wait_for_isolated(context, call, fitting) or fitting
     own = context.paths.hall
     return min(
         fitting,
@@ -205,6 +205,6 @@
 
 def _record_possible_crash(context: RelayContext, call: Call, server: Server, error: BackendError) -> None:
     """Record that a server may have crashed while it ran a call, and probe whether it has."""
-    context.quarantine.broke_off(call, server.facts.key, None)
+    context.quarantine.note_interrupted(call, server.facts.key, None)
     if not isinstance(error, BackendSilent):
         eventlet.spawn_n(probe_server, context, server)
--- a/tests/test_begun_streams.py
+++ b/tests/test_begun_streams.py
@@ -68,7 +68,7 @@
             paths=PathSelector(self.fleet, HallName("a")),
             wait_queues=self.wait_queues,
             quarantine=self.quarantine,
-            diagnosis=SimpleNamespace(examine=lambda servers: None, examine_anew=lambda servers: None),
+            diagnosis=SimpleNamespace(probe=lambda servers: None, probe_again=lambda servers: None),
             rng=random.Random(1),
             without=frozenset(),
             retry_budget=lambda service: self.budget,
@@ -259,7 +259,7 @@
         checks += scene.attempts
         return frozenset({stages[-1].facts.id}) if 0 < checks <= MAX_UNREACHABLE + 3 else frozenset()
 
-    monkeypatch.setattr(streams, "ended_stages", ended)
+    monkeypatch.setattr(streams, "refusing_stages", ended)
     assert served(scene, scene.start(scene.break_off))
     assert checks > MAX_UNREACHABLE + 1
     assert scene.at_rest()
@@ -339,7 +339,7 @@
 ) -> None:
     task = scene.start(scene.break_off_full)
     eventlet.sleep(LATER)
-    monkeypatch.setattr(scene.quarantine, "holds", lambda call: True)
+    monkeypatch.setattr(scene.quarantine, "is_stopped", lambda call: True)
     with eventlet.Timeout(2.0):
         task.wait()
     assert scene.error is not None
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -13,7 +13,7 @@
 from bayglade.quarantine import Quarantine
 from bayglade.server_termination import watch_server_termination
 from bayglade.servers import Server, ServerFacts
-from tests.test_quarantine import call
+from tests.test_quarantine import make_call
 from tests.test_tiling import SERVICE
 
 FACTS = ServerFacts(
@@ -37,14 +37,16 @@
         self.diagnosis: Any = SimpleNamespace()
         self.quarantine = Quarantine(b"key", random.Random(1))
         watch_server_termination(self.fleet, self.pool, self.diagnosis, self.quarantine)
-        self.quarantine.broke_off(call(), FACTS.key, None)
+        self.quarantine.note_interrupted(make_call(), FACTS.key, None)
 
     @property
     def server(self) -> Server:
         return self.fleet.servers[FACTS.id]
 
     def ended(self) -> bool:
-        return self.quarantine.suspects(call()) and not self.quarantine.unsure_of(call())
+        return self.quarantine.is_suspect(make_call()) and not self.quarantine.unconfirmed_servers(
+            make_call()
+        )
 
 
 @pytest.fixture
@@ -92,6 +94,6 @@
 
 def test_a_report_is_evidence_that_it_lives(scene: Scene) -> None:
     scene.diagnosis.on_answer(scene.server, float("inf"))
-    assert not scene.quarantine.suspects(call())
+    assert not scene.quarantine.is_suspect(make_call())
     scene.pool.on_refused(FACTS.id, FACTS.address)
-    assert not scene.quarantine.suspects(call())
+    assert not scene.quarantine.is_suspect(make_call())
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -7,7 +7,7 @@
 import pytest
 
 from bayglade import relay
-from bayglade.quarantine import GATHER_SECONDS
+from bayglade.quarantine import RESEND_DELAY_SECONDS
 from tests.test_quarantine import Clock
 
 
@@ -23,5 +23,5 @@
 
     monkeypatch.setattr(relay, "now", clock)
     monkeypatch.setattr(relay.eventlet, "sleep", sleep)
-    relay._wait_for_reports(GATHER_SECONDS)
-    assert slept == [GATHER_SECONDS] * waits
+    relay._wait_for_reports(RESEND_DELAY_SECONDS)
+    assert slept == [RESEND_DELAY_SECONDS] * waits
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -25,7 +25,7 @@
 from bayglade.servers import Server
 from bayglade.spreading import Spreading
 from bayglade.tiling import Span
-from bayglade.totals import Totals
+from bayglade.totals import LoadTotals
 from bayglade.upstream import ConnectionPool
 from tests.server_rows import BORN, facts_of
 from tests.test_diagnosis import ALIVE, Stages
@@ -133,7 +133,7 @@
 
 def test_a_report_of_a_later_incarnation_ends_the_earlier_one() -> None:
     fleet, diagnosis, before = diagnosis_of(LATER)
-    assert diagnosis.examine([before]) == {ID}
+    assert diagnosis.probe([before]) == {ID}
     after = fleet.servers[ID]
     assert (after.facts.incarnation, after.facts.layer_count) == (LATER, 0)
     assert before.has_ended(0.0)
@@ -144,7 +144,7 @@
 
 def test_a_report_of_an_earlier_incarnation_is_ignored() -> None:
     fleet, diagnosis, before = diagnosis_of(BORN - 1)
-    assert diagnosis.examine([before]) == {ID}
+    assert diagnosis.probe([before]) == {ID}
     assert fleet.servers[ID] is before
 
 
@@ -158,7 +158,7 @@
             return msgspec.structs.replace(ALIVE, incarnation=Incarnation(BORN), pace=9.0)
 
     diagnosis = Diagnosis(fleet, Slow(set()), random.Random(1))
-    assert diagnosis.examine([before]) == {ID}
+    assert diagnosis.probe([before]) == {ID}
     assert fleet.servers[ID].pace == 1.0
     assert not fleet.servers[ID].suspect
 
@@ -190,10 +190,10 @@
     made, _ = spreading_of(fleet)
     monkeypatch.setattr("bayglade.spreading.eventlet.spawn_n", lambda *_: None)
     for finder in ("a", "b", "c"):
-        made.heard(MemberId("a"), dead(finder, BORN))
+        made.merge_findings(MemberId("a"), dead(finder, BORN))
     assert not after.suspect
     for finder in ("a", "b"):
-        made.heard(MemberId("a"), dead(finder, LATER))
+        made.merge_findings(MemberId("a"), dead(finder, LATER))
     assert after.suspect
 
 
@@ -202,22 +202,22 @@
     before = fleet.servers[ID]
     made, _ = spreading_of(fleet)
     monkeypatch.setattr("bayglade.spreading.eventlet.spawn_n", lambda act, *args: act(*args))
-    made.heard(MemberId("a"), dead("a", LATER))
+    made.merge_findings(MemberId("a"), dead("a", LATER))
     assert fleet.servers[ID].facts.incarnation == LATER
     assert not fleet.servers[ID].suspect
     assert before.has_ended(0.0)
 
 
 def test_loads_of_an_earlier_incarnation_do_not_count() -> None:
-    totals = Totals(MemberId("me"))
+    totals = LoadTotals(MemberId("me"))
     totals.assign({MemberId(name): HallName("h") for name in ("me", "a", "b")}, {})
     for name, born, heads in (("a", BORN, 7), ("b", LATER, 2)):
         loads = [ServerLoad(ID, heads, 0, Incarnation(born))]
         beat = Heartbeat(revision=Revision(1), draining=False, usage=[], leaving=[], held=[], loads=loads)
-        totals.hear(MemberId(name), beat)
+        totals.merge_heartbeat(MemberId(name), beat)
     fleet = fleet_with_server()
     after = restart(fleet)
-    assert totals.elsewhere([])[after.facts.key].heads == 2
+    assert totals.other_daemons([])[after.facts.key].heads == 2
 
 
 def loader_of(fleet: Fleet, report: Any, monkeypatch: pytest.MonkeyPatch) -> tuple[Loader, list[Span]]:
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -1,16 +1,14 @@
-"""Word of servers that end under a question outlives the daemon that saw them, and reaches who was away.
+"""Evidence against a request outlives the daemon that saw it, and reaches daemons that were away.
 
-Eight servers ended under one question, four of them late. Soaks of kills and freezes of daemons beside an
-unsteady store made it come (seeds 1003 and 1012 of the focused acts):
+Eight servers crashed under one request, four of them after it should have been stopped. Soaks that
+killed and froze daemons beside an unreliable store showed it (seeds 1003 and 1012 of the focused acts).
+After four crashes, one daemon was frozen and the other killed, while the store was unavailable, so that
+no row reports of new server incarnations. Both then sent the request again: the one 24 ms after it woke,
+the other once it had restarted.
 
-    1681.645  i-1-2, then i-0-2, i-0-1 and i-1-1 end under it, sent by d1 and d2
-    1682.786  d2 is frozen, 1683.076  d1 is killed; the store is silent, so no row tells of new starts
-    1686.134  d2, awake for 24 ms, sends it to i-0-0
-    1687.049  d1, started anew, sends it to i-1-0 and i-0-0
-    1687.409  d2 can read the store again: request stopped
-
-What broke off was known to the daemon that had sent it only, until the end was sure; a daemon that woke in
-its wait for word went on before it had read any; and one that joined was told nothing.
+The causes: interruptions were known only to the daemon that had sent the request, until the crash was
+confirmed; a daemon that woke while it waited for reports went on before it had read any; and a daemon
+that joined got no evidence.
 """
 
 import random
@@ -25,11 +23,11 @@
 from bayglade.entries import membership as membership_module
 from bayglade.entries.membership import Member, Membership
 from bayglade.entries.wire import Crash, Findings
-from bayglade.evidence import MOST_ENDS
+from bayglade.evidence import CRASHES_TO_STOP
 from bayglade.fingerprints import fingerprint_of
 from bayglade.ids import MemberId
-from bayglade.quarantine import MAX_SUSPECTS, MAX_TOLD, UNSURE_SECONDS, Quarantine
-from tests.test_quarantine import KEY, Clock, call, end_under, make, start
+from bayglade.quarantine import MAX_SHARED_ON_JOIN, MAX_SUSPECTS, UNCONFIRMED_SECONDS, Quarantine
+from tests.test_quarantine import KEY, Clock, crash_servers, make_call, make_quarantine, server_key
 
 
 @pytest.fixture
@@ -39,120 +37,120 @@
     return made
 
 
-def breaks_of(quarantine: Quarantine, numbers: range) -> list[Crash]:
-    """Break a question off on some servers; return what the daemon tells of it."""
-    told: list[Crash] = []
-    quarantine.on_break = told.append
+def interruptions_of(quarantine: Quarantine, numbers: range) -> list[Crash]:
+    """Interrupt a request on some servers; return what the daemon reports."""
+    reports: list[Crash] = []
+    quarantine.on_interrupted = reports.append
     for number in numbers:
-        quarantine.broke_off(call(), start(number), None)
-    return told
+        quarantine.note_interrupted(make_call(), server_key(number), None)
+    return reports
 
 
-def test_what_broke_off_at_a_daemon_that_ended_counts_once_the_ends_are_sure(clock: Clock) -> None:
-    gone, left = make(), make()
-    assert left.hear_breaks(breaks_of(gone, range(MOST_ENDS)))
+def test_interruptions_at_a_lost_daemon_count_once_the_crashes_are_confirmed(clock: Clock) -> None:
+    gone, left = make_quarantine(), make_quarantine()
+    assert left.merge_interruptions(interruptions_of(gone, range(CRASHES_TO_STOP)))
     clock.at += 3.0
-    for number in range(MOST_ENDS):
-        assert not left.holds(call())
-        left.server_ended(start(number))
-    assert left.holds(call())
+    for number in range(CRASHES_TO_STOP):
+        assert not left.is_stopped(make_call())
+        left.server_ended(server_key(number))
+    assert left.is_stopped(make_call())
 
 
-def test_what_broke_off_counts_when_the_end_was_known_before(clock: Clock) -> None:
-    sender, knowing = make(), make()
-    for number in range(MOST_ENDS):
-        knowing.server_ended(start(number))
-    knowing.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
-    assert knowing.holds(call())
+def test_reported_interruptions_count_if_the_crash_is_already_known(clock: Clock) -> None:
+    sender, knowing = make_quarantine(), make_quarantine()
+    for number in range(CRASHES_TO_STOP):
+        knowing.server_ended(server_key(number))
+    knowing.merge_interruptions(interruptions_of(sender, range(CRASHES_TO_STOP)))
+    assert knowing.is_stopped(make_call())
 
 
-def test_a_break_alone_counts_for_nothing(clock: Clock) -> None:
-    sender, other = make(), make()
-    other.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
-    assert not other.holds(call())
+def test_a_reported_interruption_alone_does_not_count(clock: Clock) -> None:
+    sender, other = make_quarantine(), make_quarantine()
+    other.merge_interruptions(interruptions_of(sender, range(CRASHES_TO_STOP)))
+    assert not other.is_stopped(make_call())
     clock.at += 0.1
-    for number in range(MOST_ENDS):
-        other.server_lives(start(number), clock.at)
-        other.server_ended(start(number))
-    assert not other.holds(call())
+    for number in range(CRASHES_TO_STOP):
+        other.server_alive(server_key(number), clock.at)
+        other.server_ended(server_key(number))
+    assert not other.is_stopped(make_call())
 
 
-def test_an_answer_after_the_break_clears_what_others_told(clock: Clock) -> None:
-    sender, other = make(), make()
-    other.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
+def test_an_answer_clears_interruptions_reported_by_others(clock: Clock) -> None:
+    sender, other = make_quarantine(), make_quarantine()
+    other.merge_interruptions(interruptions_of(sender, range(CRASHES_TO_STOP)))
     clock.at += 0.1
-    other.answered(call())
-    for number in range(MOST_ENDS):
-        other.server_ended(start(number))
-    assert not other.holds(call())
+    other.note_answered(make_call())
+    for number in range(CRASHES_TO_STOP):
+        other.server_ended(server_key(number))
+    assert not other.is_stopped(make_call())
 
 
-def test_breaks_are_forgotten_in_time(clock: Clock) -> None:
-    sender, other = make(), make()
-    told = breaks_of(sender, range(MOST_ENDS))
-    other.hear_breaks(told)
-    clock.at += UNSURE_SECONDS + 0.1
+def test_reported_interruptions_expire(clock: Clock) -> None:
+    sender, other = make_quarantine(), make_quarantine()
+    reports = interruptions_of(sender, range(CRASHES_TO_STOP))
+    other.merge_interruptions(reports)
+    clock.at += UNCONFIRMED_SECONDS + 0.1
     other.tidy()
-    for number in range(MOST_ENDS):
-        other.server_ended(start(number))
-    assert not other.holds(call())
-    assert not other.told
-    assert not other.heard
+    for number in range(CRASHES_TO_STOP):
+        other.server_ended(server_key(number))
+    assert not other.is_stopped(make_call())
+    assert not other.remote_unconfirmed
+    assert not other.seen_interruptions
 
 
-def test_words_of_breaks_die_out_whatever_comes_between(clock: Clock) -> None:
-    daemons = [make() for _ in range(30)]
+def test_reported_interruptions_do_not_circulate_forever(clock: Clock) -> None:
+    daemons = [make_quarantine() for _ in range(30)]
     rng = random.Random(1)
-    waiting = [(daemons[0], breaks_of(make(), range(1)))]
+    waiting = [(daemons[0], interruptions_of(make_quarantine(), range(1)))]
     delivered = 0
     while waiting:
-        to, breaks = waiting.pop(rng.randrange(len(waiting)))
+        to, interruptions = waiting.pop(rng.randrange(len(waiting)))
         delivered += 1
         assert delivered < 2 * len(daemons) ** 2
-        if fresh := to.hear_breaks(breaks):
+        if fresh := to.merge_interruptions(interruptions):
             waiting += [(other, fresh) for other in daemons if other is not to]
-        # A contrary word comes at the same time: the server lives.
-        to.server_lives(start(0), clock.at + 1.0)
+        # A contradicting report arrives at the same time: the server is alive.
+        to.server_alive(server_key(0), clock.at + 1.0)
 
 
-def test_word_of_breaks_is_bounded(clock: Clock) -> None:
-    quarantine = make()
+def test_reported_interruptions_are_bounded(clock: Clock) -> None:
+    quarantine = make_quarantine()
     for number in range(MAX_SUSPECTS + 10):
-        name = fingerprint_of(call(b"%d" % number), KEY)
-        quarantine.hear_breaks([Crash(name, *start(1))])
-    assert len(quarantine.heard) == MAX_SUSPECTS
-    old = Crash(fingerprint_of(call(), KEY), *start(2), UNSURE_SECONDS + 0.1)
-    assert make().hear_breaks([old]) == []
-
-
-def test_a_daemon_that_joins_is_told_what_is_held_back_and_what_is_proven(clock: Clock) -> None:
-    here, new = make(), make()
-    end_under(here, call(), range(MOST_ENDS))
-    here.hear_proven([fingerprint_of(call(b"asked by all"), KEY)])
-    end_under(here, call(b"asked by all"), range(MOST_ENDS))
-    crashes, proven = here.known()
-    new.hear_proven(proven)
-    new.hear(crashes, [])
-    assert new.holds(call())
-    assert not new.holds(call(b"asked by all"))
-
-
-def test_what_a_daemon_is_told_that_joins_is_bounded(clock: Clock) -> None:
-    here = make()
-    for number in range(2 * MAX_TOLD):
-        end_under(here, call(b"%d" % number), range(number, number + 1))
-    crashes, _ = here.known()
-    assert len(crashes) == MAX_TOLD
-
-
-def test_a_new_stream_to_a_daemon_begins_with_what_it_has_to_know(monkeypatch: pytest.MonkeyPatch) -> None:
+        name = fingerprint_of(make_call(b"%d" % number), KEY)
+        quarantine.merge_interruptions([Crash(name, *server_key(1))])
+    assert len(quarantine.seen_interruptions) == MAX_SUSPECTS
+    old = Crash(fingerprint_of(make_call(), KEY), *server_key(2), UNCONFIRMED_SECONDS + 0.1)
+    assert make_quarantine().merge_interruptions([old]) == []
+
+
+def test_a_joining_daemon_gets_stopped_and_proven_requests(clock: Clock) -> None:
+    here, new = make_quarantine(), make_quarantine()
+    crash_servers(here, make_call(), range(CRASHES_TO_STOP))
+    here.merge_proven([fingerprint_of(make_call(b"asked by all"), KEY)])
+    crash_servers(here, make_call(b"asked by all"), range(CRASHES_TO_STOP))
+    crashes, proven = here.snapshot()
+    new.merge_proven(proven)
+    new.merge_crashes(crashes, [])
+    assert new.is_stopped(make_call())
+    assert not new.is_stopped(make_call(b"asked by all"))
+
+
+def test_the_report_to_a_joining_daemon_is_bounded(clock: Clock) -> None:
+    here = make_quarantine()
+    for number in range(2 * MAX_SHARED_ON_JOIN):
+        crash_servers(here, make_call(b"%d" % number), range(number, number + 1))
+    crashes, _ = here.snapshot()
+    assert len(crashes) == MAX_SHARED_ON_JOIN
+
+
+def test_a_new_stream_begins_with_the_initial_findings(monkeypatch: pytest.MonkeyPatch) -> None:
     sent: list[Any] = []
     stream = SimpleNamespace(send=sent.append, sent_bytes=0, close=lambda: None)
     monkeypatch.setattr(membership_module.streams, "dial", lambda *_: stream)
     made: Any = Membership.__new__(Membership)
     made.me, made.secret, made.rng, made.bytes_out = MemberId("me"), b"s", random.Random(1), 0
     made._heartbeat = lambda member: "heartbeat"
-    made.greet = lambda: [Findings(proven=[fingerprint_of(call(), KEY)])]
+    made.greet = lambda: [Findings(proven=[fingerprint_of(make_call(), KEY)])]
     task = eventlet.spawn(made._send, Member(MemberId("new"), parse_address("127.0.0.1:1")))
     eventlet.sleep(0)
     eventlet.sleep(0)
@@ -160,20 +158,20 @@
     assert sent == [*made.greet(), "heartbeat"]
 
 
-def test_an_answer_at_the_daemon_that_told_of_a_break_clears_it_everywhere(clock: Clock) -> None:
-    sender, other, third = make(), make(), make()
-    told: list[Any] = []
-    sender.on_news = lambda crashes, cleared: told.append((crashes, cleared))
-    fresh = other.hear_breaks(breaks_of(sender, range(MOST_ENDS)))
-    third.hear_breaks(fresh)
+def test_an_answer_at_the_reporting_daemon_clears_an_interruption_everywhere(clock: Clock) -> None:
+    sender, other, third = make_quarantine(), make_quarantine(), make_quarantine()
+    reports: list[Any] = []
+    sender.on_update = lambda crashes, cleared: reports.append((crashes, cleared))
+    fresh = other.merge_interruptions(interruptions_of(sender, range(CRASHES_TO_STOP)))
+    third.merge_interruptions(fresh)
     clock.at += 0.1
-    sender.answered(call())
-    passed_on = other.hear(*told[0])
-    third.hear(*passed_on)
+    sender.note_answered(make_call())
+    forwarded = other.merge_crashes(*reports[0])
+    third.merge_crashes(*forwarded)
     for daemon in (sender, other, third):
-        for number in range(MOST_ENDS):
-            daemon.server_ended(start(number))
-        assert not daemon.holds(call())
-    # It is told once.
-    sender.answered(call())
-    assert len(told) == 1
+        for number in range(CRASHES_TO_STOP):
+            daemon.server_ended(server_key(number))
+        assert not daemon.is_stopped(make_call())
+    # The answer is reported once.
+    sender.note_answered(make_call())
+    assert len(reports) == 1
--- a/tests/test_staying_streams.py
+++ b/tests/test_staying_streams.py
@@ -77,7 +77,7 @@
 def test_it_fails_if_its_request_is_stopped(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     terminate(scene, scene.paired_stage())
     investigate(scene)
-    monkeypatch.setattr(scene.context.quarantine, "holds", lambda call: True)
+    monkeypatch.setattr(scene.context.quarantine, "is_stopped", lambda call: True)
     scene.at += DETOUR_RETRY_SECONDS
     with pytest.raises(BackendError):
         investigate(scene)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -152,7 +152,7 @@
     def __init__(self, scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
         self.scene = scene
         self.examined: list[Any] = []
-        diagnosis = SimpleNamespace(examine=self.examined.append)
+        diagnosis = SimpleNamespace(probe=self.examined.append)
         scene.context.diagnosis = diagnosis
         monkeypatch.setattr(streams.eventlet, "spawn_n", lambda act, *arguments: act(*arguments))
         monkeypatch.setattr(paths_module, "now", lambda: scene.at)
@@ -320,7 +320,7 @@
 def test_a_first_stage_whose_connection_broke_is_probed_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     probed: list[Any] = []
-    scene.context.diagnosis = SimpleNamespace(examine_anew=probed.append)
+    scene.context.diagnosis = SimpleNamespace(probe_again=probed.append)
     monkeypatch.setattr(streams.eventlet, "spawn_n", lambda act, servers: act(servers))
     error = BackendError("the connection broke", step="receive", peer="s")
     _record_failure(scene.context, scene.call, scene.run, error)
@@ -340,7 +340,7 @@
         assert checks < 50
         return frozenset({stages[-1].facts.id})
 
-    monkeypatch.setattr(streams, "ended_stages", ended)
+    monkeypatch.setattr(streams, "refusing_stages", ended)
     scene.call.seconds_left, scene.call.deadline, scene.call.arrived = lambda: 10.0, 1000.0, scene.at
     scene.context.wait_queues = SimpleNamespace(
         charge=lambda call: None,
