--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -1,14 +1,13 @@
-"""Feeds: follow a table of the platform, and know how old the knowledge is.
+"""Feeds: follow a table of the platform's store by long polling, and track how current the copy is.
 
-A feed reads the table whole, then waits for changes. It starts anew when the
-history it needs is gone, or the store was restored from an older copy: changes are
-ordered by position, which is the version in an epoch of the store. ``known_at`` is a
-time before which everything that was acknowledged is known here: the time just before
-the last answered call was sent, or, when its whole wait passed without a change, the
-end of that wait.
+A feed reads a snapshot of the table and then waits for changes. It reads the snapshot again when
+the history it needs has been discarded, or when the store was restored from a backup. Changes are
+ordered by position: an epoch of the store and a version within it. ``known_at`` is a time such that
+every write acknowledged before it is known here: the time just before the last answered call was
+sent or, if that call waited its full time without a change, the end of that wait.
 
-While another daemon tells of the table (see :mod:`bayglade.fanout`) and what it
-tells is fresh, a feed makes no calls of its own.
+While another daemon relays the table (see :mod:`bayglade.fanout`) and what it relays is fresh, a
+feed makes no calls of its own.
 """
 
 import random
@@ -29,52 +28,53 @@
 
 FIRST_PAUSE = 0.05
 MAX_PAUSE = 0.4
-"""Seconds between calls that fail: short against the bounds on updates, long for a store in trouble."""
+"""Seconds between failing calls: short against the bounds on updates, long for an overloaded store."""
 
 OTHERS_PAUSE = 4.0
 OTHERS_MAX_PAUSE = 10.0
-"""The same while another feed, which looks more often, finds the store lost too."""
+"""The same while the probe feed, which retries more often, finds the store unavailable too."""
 
 PAUSE_SPREAD = 0.3
-"""Part by which these pauses vary: daemons that lost the store together must not call it together."""
+"""Fraction by which these delays vary, so that daemons that lost the store together don't retry
+together."""
 
 TURNED_AWAY_SECONDS = 4.0
-"""For how long after a failed call a daemon leaves it to others to read the store, if they can."""
+"""Seconds after a failed call during which a daemon leaves reading the store to others, if they can."""
 
 START_REST = 1.0
-"""Seconds after the first reading of a table in which another daemon may begin to tell of it. Without
-this, daemons that start together all follow the table until they have found each other."""
+"""Seconds after a snapshot during which another daemon may begin to relay the table. Without this, daemons
+that start together would all follow the table until they have found each other."""
 
 OLDEST_OF_WAIT = 1.3
-"""Age that knowledge reaches at most while the store answers, in waits: after a change that
-came late in its wait the next call waits for less."""
+"""Highest age of a table while the store answers, in multiples of the wait: after a change that arrived
+late in its wait, the next call waits for a shorter time."""
 LEAST_WAIT = 0.1
 
 DROPPED_LINES_PER_SECOND = 2.0
-"""Log lines a second on updates that are not taken in: a daemon that is behind is told again and again."""
+"""Limit on log lines about rejected updates: a daemon that lags receives the same ones repeatedly."""
 
 MAX_REMOVED = 1000
-"""Removed rows that are remembered, so that others can be told of them."""
+"""Removed rows that are kept, so that other daemons can be told of the removal."""
 
 NOWHERE = Position(UNKNOWN_EPOCH, 0)
-"""Before all that a store ever told."""
+"""The position before all changes."""
 
 Rows = dict[str, msgspec.Raw | None]
-"""Rows by key; nothing for one that was removed."""
+"""Rows by key; None for a removed row."""
 
 Apply = Callable[[Changes, bool], None]
-"""Takes changes in; the flag tells that they are the whole table."""
+"""Applies changes; the flag says whether they are a snapshot of the whole table."""
 
 
 class Feed:
-    """One table as followed by one daemon; times are monotonic seconds.
+    """The copy of one table that a daemon keeps; times are monotonic seconds.
 
-    :param store: whoever tells of changes.
+    :param store: where changes are read.
     :param table: the table's name.
-    :param wait: seconds a call may wait for a change; bounds the age of what is known.
-    :param apply: takes changes in.
-    :param pause: seconds after changes in which more of them gather for one call.
-    :param history: the newest epoch of the store; one of its own when left out.
+    :param wait: seconds a call may wait for a change; bounds the age of the copy.
+    :param apply: applies changes.
+    :param pause: seconds to sleep after changes, so that one call returns several of them.
+    :param history: the newest known epoch of the store, shared between feeds; a new one if left out.
     """
 
     def __init__(
@@ -94,72 +94,74 @@
         self.history = history if history is not None else StoreHistory()
         self.history.on_restored.append(self._store_restored)
         self.position: Position | None = None
-        """Up to where the table is known; nothing when it has to be read whole."""
+        """Position of the local copy; None when a snapshot is needed."""
 
         self.confirmed_at = 0.0
         """When the position was last known to be in the store's history."""
 
         self.known_at = 0.0
         self.quiet = False
-        """Whether the last own call waited to its end without a change."""
+        """Whether the last own call waited its full time without a change."""
 
         self.asked_at = 0.0
         """When the last own call was sent."""
 
         self.failing_since: float | None = None
         self.lost_at = 0.0
-        """When an own call of the store failed last, unless one was answered since."""
+        """When an own call to the store last failed; 0 once one has been answered."""
 
         self.recovered_at = 0.0
-        """When the store was back after it was last lost here."""
+        """When the store last recovered from an outage that this feed noticed or was told of."""
 
         self.scout: Feed | None = None
-        """The feed that looks most often whether a lost store is back; nothing when it is this one."""
+        """The feed that retries a failing store most often; None when it is this one."""
 
         self.on_lost: Callable[[], None] | None = None
-        """Told when the store stops answering here."""
+        """Called when the store stops answering here."""
 
         self.on_answer: Callable[[], None] | None = None
-        """Told after each answer of the store."""
+        """Called after each answer of the store."""
 
         self.on_failing: Callable[[], None] | None = None
-        """Told as well when the store stops answering here."""
+        """A second callback for when the store stops answering here."""
 
         self.rest_seconds = 0.0
-        """For how long what another daemon told is fresh enough to make no call; 0 for never."""
+        """Seconds for which relayed updates count as fresh enough to make no call; 0 for never."""
 
         self.rests_until = 0.0
-        """No call is made before this time, whatever was told."""
+        """No call is made before this time, whatever was relayed."""
 
         self.first_pause = FIRST_PAUSE
-        """Time before the first call after one that failed, in seconds; doubled up to the longest."""
+        """Delay after the first failed call, in seconds; doubled with each further one up to the
+        longest."""
 
         self.max_pause = MAX_PAUSE
-        """Longest time between calls that fail, in seconds."""
+        """Longest delay between failing calls, in seconds."""
 
         self.failures = 0
-        """Calls in a row that failed."""
+        """Consecutive calls that failed."""
 
         self.on_regained: Callable[[], None] | None = None
-        """Told when the store answers here again."""
+        """Called when the store answers here again."""
 
         self.back = Event()
-        """Sent when it is worth looking at once whether to call the store."""
+        """Interrupts a delay: there is a reason to reconsider at once whether to call the store."""
 
         self.told_at = 0.0
-        """A time up to which what another daemon told of the table was surely the newest."""
+        """Every write acknowledged before this time is in what another daemon relayed."""
 
         self.rows: dict[str, tuple[Position, msgspec.Raw | None]] = {}
-        """The table as known here, rows that were removed among them, by the position they came with."""
+        """The local copy with the position that each row came with; removed rows are included."""
 
         self.complete_from = NOWHERE
-        """The position from which on all rows that were removed are remembered."""
+        """All rows removed after this position are still remembered."""
 
         self.gone_after: Position | None = None
-        """The position after which the history was gone, until the table has been read anew."""
+        """The position whose history was discarded or replaced; None once a snapshot has been read
+        since."""
 
         self.dropped = 0
-        """Updates that were not taken in."""
+        """Updates that were rejected."""
 
         self.tell_dropped = limited(DROPPED_LINES_PER_SECOND)
         self.rng = random.Random()
@@ -169,23 +171,24 @@
         return f"<Feed {self.table} position={self.position} age={self.age():.1f}>"
 
     def age(self) -> float:
-        """Return the seconds since what is known here was surely the newest."""
+        """Return the seconds since the local copy was known to be current."""
         return now() - self.known_at
 
     def start(self) -> None:
-        """Follow the table in a task of its own; a task that runs already is replaced."""
+        """Follow the table in a task of its own; a task that is already running is replaced."""
         if self.task is not None:
             self.task.kill()
         self.task = eventlet.spawn(self.run)
 
     def interrupt(self) -> None:
-        """Start the present call anew: another feed found the store lost, and nobody tells of it."""
+        """Restart the current call: another feed found the store unavailable, and nobody relays the
+        table."""
         if self.failing_since is None and self.task is not None and self._rest_left() <= 0:
             self.failing_since = now()
             self.start()
 
     def run(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table forever."""
         while True:
             if (rest := self._rest_left()) > 0:
                 self._wait(rest)
@@ -235,16 +238,16 @@
         known_at: float,
         recovered_at: float = 0.0,
     ) -> None:
-        """Take in what another daemon knows of the table.
+        """Apply what another daemon relays of the table.
 
-        What tells of a history that is over, or leaves something out, makes nothing fresher. What is
-        known here already does: a table that was read later is known at a later version, though
-        nothing in it has changed.
+        Updates from a superseded epoch, or with a gap before them, don't make the local copy any fresher.
+        Rows that are already known here do: a snapshot taken later has a later version even if none of its
+        rows has changed.
 
-        :param changes: rows that changed, as of the other's position.
-        :param after: the position they changed after; nothing when it is the whole table.
-        :param known_at: a time before which everything acknowledged is in it.
-        :param recovered_at: when the store was back for whoever read it, if it was lost.
+        :param changes: rows that changed, as of the sender's position.
+        :param after: the position they changed after; None when they are a snapshot.
+        :param known_at: a time such that they include every write acknowledged before it.
+        :param recovered_at: when the store recovered for the daemon that read them, if it had been lost.
         """
         self.history.note(changes.epoch)
         if changes.epoch < self.history.epoch:
@@ -256,21 +259,22 @@
         if self._may_be_restored(changes, recovered_at) or self._stale(changes, self.gone_after):
             self._dropped("older", changes, after)
             return
-        # Entries that lapsed in an outage are judged by when the store came back.
+        # Entries that expired during an outage are judged by when the store recovered.
         self.recovered_at = max(self.recovered_at, recovered_at)
         if self.failing_since is not None:
             event("INFO", "store told of", table=self.table, out=round(now() - self.failing_since, 2))
             self.failing_since = None
-            # A pause after a call that failed may last longer than the word of others is enough.
+            # A retry delay after a failed call may last longer than relayed updates count as fresh.
             self.ask_now()
         self.known_at = max(self.known_at, known_at)
         self.told_at = max(self.told_at, known_at)
         self._take(changes, after is None)
 
     def rest(self, told: bool) -> None:
-        """Set whether what other daemons tell is enough, for as long as the table's bound allows.
+        """Set whether to rely on updates that other daemons relay, within the limit set by the table's
+        bound.
 
-        :param told: whether others tell; else the store is followed.
+        :param told: whether others relay the table; if not, the feed follows the store.
         """
         seconds = rest_after(self.wait) if told else 0.0
         if seconds == self.rest_seconds:
@@ -281,10 +285,10 @@
             self.ask_now()
 
     def since(self, after: Position | None) -> tuple[Changes, bool]:
-        """Return what changed after a position, or the whole table where that is not known.
+        """Return the changes after a position, or a snapshot where they are not known.
 
-        :param after: the position; nothing for the whole table.
-        :return: rows, and whether they are the whole table.
+        :param after: the position; None for a snapshot.
+        :return: the rows, and whether they are a snapshot.
         """
         position = self.position or NOWHERE
         if after is not None and after.epoch == position.epoch and after >= self.complete_from:
@@ -294,62 +298,65 @@
         return Changes(whole, position.version, position.epoch), True
 
     def current(self) -> bool:
-        """Tell whether the table is known, and as of the newest epoch of the store."""
+        """Return whether the table is known as of the newest epoch of the store."""
         return self.position is not None and self.position.epoch >= self.history.epoch
 
     def _positioned(self, changes: Changes, known: Position | None) -> Changes:
-        """Return an answer of the store with its place in the store's history.
+        """Return an answer of the store with its epoch filled in.
 
         :param changes: the answer.
-        :param known: up to where the table was known when the store was asked.
-        :raises PlatformUnavailable: when it is of a history that is over, or older than what was known: an
-            old connection or a late answer.
+        :param known: the position of the local copy when the store was called.
+        :raises PlatformUnavailable: when the answer is from a superseded epoch or older than the local
+            copy, as from an old connection or a late answer.
         """
         if changes.epoch == UNKNOWN_EPOCH:
             changes = msgspec.structs.replace(changes, epoch=self.history.epoch)
         self.history.note(changes.epoch)
         if changes.epoch < self.history.epoch:
             self._dropped("earlier epoch", changes, None)
-            raise PlatformUnavailable("the answer is of an earlier epoch", step="read", peer="store")
+            raise PlatformUnavailable(
+                "the answer is from an earlier epoch of the store", step="read", peer="store"
+            )
         if self._stale(changes, known):
             self._dropped("older", changes, None)
-            raise PlatformUnavailable("the answer is older than what is known", step="read", peer="store")
+            raise PlatformUnavailable("the answer is older than the local copy", step="read", peer="store")
         return changes
 
     def _stale(self, changes: Changes, known: Position | None) -> bool:
-        """Tell whether changes bring a table to less than what was known; versions of one epoch only grow.
+        """Return whether changes lead to an earlier position than was known; versions only grow within an
+        epoch.
 
-        A store that does not name its epoch may have been restored instead.
+        A store that does not name its epoch may have been restored instead, so it is never judged stale.
         """
         if known is None or changes.epoch == UNKNOWN_EPOCH:
             return False
         return changes.position < known
 
     def _may_be_restored(self, changes: Changes, recovered_at: float) -> bool:
-        """Tell whether changes below what is known here may come from a store that was restored.
+        """Return whether changes below the known position may come from a restored store.
 
-        Where it names no epoch, only that it was away since tells such changes from a table that was just
-        read earlier.
+        If the store names no epoch, only an outage since the last confirmation distinguishes them from a
+        snapshot that was read earlier.
 
-        :param recovered_at: when the store was back for whoever read them.
+        :param recovered_at: when the store recovered for the daemon that read them.
         """
         if self.position is None or changes.position >= self.position:
             return False
         return changes.epoch == UNKNOWN_EPOCH and recovered_at > self.confirmed_at
 
     def _follows(self, after: Position, changes: Changes) -> bool:
-        """Tell whether changes after a position leave nothing out that is not known here."""
+        """Return whether no change is missing between the position known here and these changes."""
         return self.position is not None and after.epoch == changes.epoch and after <= self.position
 
     def _store_restored(self) -> None:
-        """Read the table anew at once, unless another daemon tells of it."""
-        # A feed that has no position is reading the table already.
+        """Read the whole table again at once, unless another daemon relays it."""
+        # A feed without a position is reading the whole table already.
         behind = self.position is not None and not self.current()
         if self.task is not None and behind and self._rest_left() <= 0:
             self.start()
 
     def _take(self, changes: Changes, whole: bool) -> bool:
-        """Take in rows, unless newer ones came another way meanwhile; tell whether there were any."""
+        """Apply rows unless newer ones arrived by another route meanwhile; return whether there were any."""
         if self.position is not None and changes.position < self.position:
             return False
         if self.position == changes.position and (whole or not changes.rows):
@@ -363,7 +370,7 @@
         return True
 
     def _note_restored(self, changes: Changes) -> None:
-        """Note that a table comes from a restored store: rows that the copy lacks may be written again."""
+        """Log what differs after the store was restored; rows missing from the backup may be rewritten."""
         before = self.position or self.gone_after
         self.gone_after = None
         if not was_restored(before, changes.position):
@@ -383,7 +390,7 @@
         )
 
     def _dropped(self, reason: str, changes: Changes, after: Position | None) -> None:
-        """Count and log an update that is not taken in."""
+        """Count and log an update that was rejected."""
         self.dropped += 1
         self.tell_dropped(
             "INFO",
@@ -408,34 +415,34 @@
             self.complete_from = max(self.complete_from, at)
 
     def _rest_left(self) -> float:
-        """Return for how long no call is needed, by what another daemon tells."""
+        """Return for how many seconds updates relayed by other daemons make a call unnecessary."""
         if self.position is None or not self.rest_seconds:
             return 0.0
         return max(self.rests_until, self.told_at + self.rest_seconds) - now()
 
     def ask_now(self) -> None:
-        """Look again without more delay whether to call the store: it answers elsewhere."""
+        """Wake the feed so that it reconsiders at once whether to call the store."""
         if self.failing_since is not None:
             event("INFO", "feed woken", table=self.table)
         if not self.back.ready():
             self.back.send()
 
     def _store_returned(self, lost_at: float) -> float:
-        """Return when the store was back, by whichever feed noticed first.
+        """Return when the store recovered, as seen by whichever feed noticed first.
 
-        :param lost_at: when this feed lost it.
+        :param lost_at: when this feed lost the store.
         """
         if self.scout is not None and self.scout.recovered_at > lost_at:
             return self.scout.recovered_at
         return now()
 
     def _pause(self) -> None:
-        """Wait after a call that failed, longer after each in a row."""
+        """Back off after a failed call, exponentially and with jitter."""
         lost = self._lost_everywhere()
         first, longest = (OTHERS_PAUSE, OTHERS_MAX_PAUSE) if lost else (self.first_pause, self.max_pause)
         seconds = min(longest, first * 2.0 ** (self.failures - 1))
         seconds *= self.rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
-        # Which table is behind, and for how long still, cannot be told from the first failure.
+        # Logged on every failure: the first one alone does not tell which table lags, or for how long.
         took = round(now() - self.asked_at, 2)
         event("INFO", "store call failed", table=self.table, took=took, pause=round(seconds, 2))
         if not lost:
@@ -443,30 +450,30 @@
             return
         until = now() + seconds
         while self._lost_everywhere() and now() < until:
-            # The scout wakes this feed, but for when another daemon tells the scout of the store: found
-            # out so, a list of servers is not 4 to 10 s behind.
+            # The probe feed wakes this one when its own call succeeds, but not when it recovers through a
+            # relayed update. Polling its state keeps the server list from lagging by another 4 to 10 s.
             self._wait(min(MAX_PAUSE, until - now()))
 
     def _lost_everywhere(self) -> bool:
-        """Tell whether the scout finds the store lost too."""
+        """Return whether the probe feed finds the store unavailable too."""
         return self.scout is not None and self.scout.failing_since is not None
 
     def _wait(self, seconds: float) -> None:
-        """Wait before the next call, less when it is worth looking sooner."""
+        """Wait before the next call, or until woken."""
         self.back = Event()
         with eventlet.Timeout(seconds, False):
             self.back.wait()
 
     def _next_wait(self) -> float:
-        """Return how long the next call may wait for a change."""
+        """Return how long the next call may wait for a change, in seconds."""
         wait = min(self.wait, max(LEAST_WAIT, OLDEST_OF_WAIT * self.wait - self.age()))
-        # At rest waits end at whole multiples on the clock, so that those of several tables end together
-        # and one message tells of all, which wakes followers less often.
+        # While a table is idle, waits end at whole multiples of their length on the clock. Those of several
+        # tables then end together and are relayed in one message, which wakes followers less often.
         left = self.wait - now() % self.wait
         return min(wait, left) if self.quiet and left >= LEAST_WAIT else wait
 
     def turned_away(self) -> bool:
-        """Tell whether the store did not answer an own call lately, though others may tell of it."""
+        """Return whether an own call to the store failed recently, even if others relay the table."""
         return self.lost_at > 0 and now() - self.lost_at < TURNED_AWAY_SECONDS
 
     def _failed(self, error: PlatformUnavailable) -> None:
@@ -482,9 +489,9 @@
 
 
 def look_together(feeds: Iterable[Feed]) -> None:
-    """Have all feeds of one store look at it anew when one of them finds it lost, or back.
+    """Link all feeds of one store so that each rechecks it when one of them loses or regains it.
 
-    :param feeds: the feeds; the first is the scout, which looks most often.
+    :param feeds: the feeds; the first is the probe feed, which retries most often.
     """
     joined = list(feeds)
 
