--- a/bayglade/beliefs.py
+++ b/bayglade/beliefs.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from bayglade.clock import now
-from bayglade.feeds import NOWHERE, Feed
+from bayglade.feeds import ORIGIN, Feed
 from bayglade.fleet import Fleet
 from bayglade.ids import (
     UNKNOWN_EPOCH,
@@ -132,7 +132,7 @@
 
 
 def _table(feed: Feed) -> TableBelief:
-    position = feed.position or NOWHERE
+    position = feed.position or ORIGIN
     return TableBelief(
         table=feed.table,
         epoch=None if position.epoch == UNKNOWN_EPOCH else position.epoch,
--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -20,7 +20,7 @@
 from bayglade.clock import now
 from bayglade.entries.wire import Message, Poll, TableUpdate, Unable, Updates
 from bayglade.exceptions import PeerError
-from bayglade.feeds import FIRST_PAUSE, MAX_PAUSE, NOWHERE, Feed
+from bayglade.feeds import INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, ORIGIN, Feed
 from bayglade.ids import MemberId
 from bayglade.rows import Changes, Position
 
@@ -120,8 +120,8 @@
         self.asks = asks
         for feed in self.feeds.values():
             feed.rest(bool(asks))
-            feed.first_pause = FOLLOWER_FIRST_PAUSE if asks else FIRST_PAUSE
-            feed.max_pause = FOLLOWER_PAUSE if asks else MAX_PAUSE
+            feed.first_pause = FOLLOWER_FIRST_PAUSE if asks else INITIAL_RETRY_DELAY
+            feed.max_pause = FOLLOWER_PAUSE if asks else MAX_RETRY_DELAY
 
     def watch(self) -> None:
         """Ask readers that were not asked, or did not answer for long; called often."""
@@ -236,7 +236,7 @@
         """Tell whether a table is newer here than whoever waits has it."""
         have = self.waiting[member].poll.have
         known = self._known().items()
-        return any((feed.position or NOWHERE) > have.get(name, NOWHERE) for name, feed in known)
+        return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in known)
 
     def _news(self, member: MemberId) -> bool:
         """Tell whether a table is newer here than whoever waits has it, or was surely the newest later."""
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -26,37 +26,37 @@
 from bayglade.logs import event, limited
 from bayglade.rows import ChangeFeed, Changes, Position, was_restored
 
-FIRST_PAUSE = 0.05
-MAX_PAUSE = 0.4
+INITIAL_RETRY_DELAY = 0.05
+MAX_RETRY_DELAY = 0.4
 """Seconds between failing calls: short against the bounds on updates, long for an overloaded store."""
 
-OTHERS_PAUSE = 4.0
-OTHERS_MAX_PAUSE = 10.0
+SECONDARY_RETRY_DELAY = 4.0
+MAX_SECONDARY_RETRY_DELAY = 10.0
 """The same while the probe feed, which retries more often, finds the store unavailable too."""
 
-PAUSE_SPREAD = 0.3
+RETRY_JITTER = 0.3
 """Fraction by which these delays vary, so that daemons that lost the store together don't retry
 together."""
 
-TURNED_AWAY_SECONDS = 4.0
+RECENT_FAILURE_SECONDS = 4.0
 """Seconds after a failed call during which a daemon leaves reading the store to others, if they can."""
 
-START_REST = 1.0
+SNAPSHOT_REST_SECONDS = 1.0
 """Seconds after a snapshot during which another daemon may begin to relay the table. Without this, daemons
 that start together would all follow the table until they have found each other."""
 
-OLDEST_OF_WAIT = 1.3
+MAX_AGE_IN_WAITS = 1.3
 """Highest age of a table while the store answers, in multiples of the wait: after a change that arrived
 late in its wait, the next call waits for a shorter time."""
-LEAST_WAIT = 0.1
+MIN_WAIT = 0.1
 
-DROPPED_LINES_PER_SECOND = 2.0
+DROPPED_LOGS_PER_SECOND = 2.0
 """Limit on log lines about rejected updates: a daemon that lags receives the same ones repeatedly."""
 
-MAX_REMOVED = 1000
+MAX_REMOVED_ROWS = 1000
 """Removed rows that are kept, so that other daemons can be told of the removal."""
 
-NOWHERE = Position(UNKNOWN_EPOCH, 0)
+ORIGIN = Position(UNKNOWN_EPOCH, 0)
 """The position before all changes."""
 
 Rows = dict[str, msgspec.Raw | None]
@@ -131,11 +131,11 @@
         self.rests_until = 0.0
         """No call is made before this time, whatever was relayed."""
 
-        self.first_pause = FIRST_PAUSE
+        self.first_pause = INITIAL_RETRY_DELAY
         """Delay after the first failed call, in seconds; doubled with each further one up to the
         longest."""
 
-        self.max_pause = MAX_PAUSE
+        self.max_pause = MAX_RETRY_DELAY
         """Longest delay between failing calls, in seconds."""
 
         self.failures = 0
@@ -153,7 +153,7 @@
         self.rows: dict[str, tuple[Position, msgspec.Raw | None]] = {}
         """The local copy with the position that each row came with; removed rows are included."""
 
-        self.complete_from = NOWHERE
+        self.complete_from = ORIGIN
         """All rows removed after this position are still remembered."""
 
         self.gone_after: Position | None = None
@@ -163,7 +163,7 @@
         self.dropped = 0
         """Updates that were rejected."""
 
-        self.tell_dropped = limited(DROPPED_LINES_PER_SECOND)
+        self.tell_dropped = limited(DROPPED_LOGS_PER_SECOND)
         self.rng = random.Random()
         self.task: eventlet.greenthread.GreenThread | None = None
 
@@ -224,7 +224,7 @@
         self.quiet = not whole and not changes.rows and now() - asked >= wait
         self.known_at = max(self.known_at, asked + wait if self.quiet else asked)
         if whole:
-            self.rests_until = now() + START_REST if self.rest_seconds else 0.0
+            self.rests_until = now() + SNAPSHOT_REST_SECONDS if self.rest_seconds else 0.0
         taken = self._take(changes, whole)
         if self.on_answer is not None:
             self.on_answer()
@@ -290,7 +290,7 @@
         :param after: the position; None for a snapshot.
         :return: the rows, and whether they are a snapshot.
         """
-        position = self.position or NOWHERE
+        position = self.position or ORIGIN
         if after is not None and after.epoch == position.epoch and after >= self.complete_from:
             changed: Rows = {key: value for key, (at, value) in self.rows.items() if at > after}
             return Changes(changed, position.version, position.epoch), False
@@ -356,7 +356,7 @@
             self.start()
 
     def _take(self, changes: Changes, whole: bool) -> bool:
-        """Apply rows unless newer ones arrived by another route meanwhile; return whether there were any."""
+        """Apply rows unless newer ones arrived another way meanwhile; return whether there were any."""
         if self.position is not None and changes.position < self.position:
             return False
         if self.position == changes.position and (whole or not changes.rows):
@@ -410,7 +410,7 @@
             self.complete_from = changes.position
         self.rows.update((key, (changes.position, value)) for key, value in changes.rows.items())
         removed = sorted((at, key) for key, (at, value) in self.rows.items() if value is None)
-        for at, key in removed[: max(0, len(removed) - MAX_REMOVED)]:
+        for at, key in removed[: max(0, len(removed) - MAX_REMOVED_ROWS)]:
             del self.rows[key]
             self.complete_from = max(self.complete_from, at)
 
@@ -439,9 +439,13 @@
     def _pause(self) -> None:
         """Back off after a failed call, exponentially and with jitter."""
         lost = self._lost_everywhere()
-        first, longest = (OTHERS_PAUSE, OTHERS_MAX_PAUSE) if lost else (self.first_pause, self.max_pause)
+        first, longest = (
+            (SECONDARY_RETRY_DELAY, MAX_SECONDARY_RETRY_DELAY)
+            if lost
+            else (self.first_pause, self.max_pause)
+        )
         seconds = min(longest, first * 2.0 ** (self.failures - 1))
-        seconds *= self.rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
+        seconds *= self.rng.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER)
         # Logged on every failure: the first one alone does not tell which table lags, or for how long.
         took = round(now() - self.asked_at, 2)
         event("INFO", "store call failed", table=self.table, took=took, pause=round(seconds, 2))
@@ -452,7 +456,7 @@
         while self._lost_everywhere() and now() < until:
             # The probe feed wakes this one when its own call succeeds, but not when it recovers through a
             # relayed update. Polling its state keeps the server list from lagging by another 4 to 10 s.
-            self._wait(min(MAX_PAUSE, until - now()))
+            self._wait(min(MAX_RETRY_DELAY, until - now()))
 
     def _lost_everywhere(self) -> bool:
         """Return whether the probe feed finds the store unavailable too."""
@@ -466,15 +470,15 @@
 
     def _next_wait(self) -> float:
         """Return how long the next call may wait for a change, in seconds."""
-        wait = min(self.wait, max(LEAST_WAIT, OLDEST_OF_WAIT * self.wait - self.age()))
-        # While a table is idle, waits end at whole multiples of their length on the clock. Those of several
+        wait = min(self.wait, max(MIN_WAIT, MAX_AGE_IN_WAITS * self.wait - self.age()))
+        # While nothing changes, waits end at whole multiples of their length on the clock. Those of several
         # tables then end together and are relayed in one message, which wakes followers less often.
         left = self.wait - now() % self.wait
-        return min(wait, left) if self.quiet and left >= LEAST_WAIT else wait
+        return min(wait, left) if self.quiet and left >= MIN_WAIT else wait
 
     def turned_away(self) -> bool:
         """Return whether an own call to the store failed recently, even if others relay the table."""
-        return self.lost_at > 0 and now() - self.lost_at < TURNED_AWAY_SECONDS
+        return self.lost_at > 0 and now() - self.lost_at < RECENT_FAILURE_SECONDS
 
     def _failed(self, error: PlatformUnavailable) -> None:
         self.lost_at, self.quiet = now(), False
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -314,11 +314,11 @@
 
 def test_removed_rows_are_forgotten_at_last(hall: tuple[Table, Daemon, Daemon]) -> None:
     table, reader, _ = hall
-    for n in range(feeds.MAX_REMOVED + 10):
+    for n in range(feeds.MAX_REMOVED_ROWS + 10):
         table.put(f"k{n}", b"1")
         table.put(f"k{n}", None)
         reader.feed._step()
-    assert len(reader.feed.rows) <= feeds.MAX_REMOVED + 1
+    assert len(reader.feed.rows) <= feeds.MAX_REMOVED_ROWS + 1
     assert reader.feed.since(at(1))[1]
     assert not reader.feed.since(at(table.version - 1))[1]
 
@@ -361,7 +361,7 @@
     follower.fanout.assign(())
     waiting.wait()
     assert time.monotonic() - started < 10.0
-    assert follower.feed.max_pause == feeds.MAX_PAUSE
+    assert follower.feed.max_pause == feeds.MAX_RETRY_DELAY
 
 
 def test_a_daemon_at_its_start_waits_a_moment_for_others_to_tell_it(clock: Clock) -> None:
@@ -370,7 +370,7 @@
     daemon.fanout.assign((MemberId("d0"),))
     assert daemon.feed._rest_left() <= 0
     daemon.feed._step()
-    assert daemon.feed._rest_left() == pytest.approx(feeds.START_REST)
+    assert daemon.feed._rest_left() == pytest.approx(feeds.SNAPSHOT_REST_SECONDS)
     daemon.fanout.assign(())
     assert daemon.feed._rest_left() <= 0
 
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -8,7 +8,7 @@
 
 from bayglade import feeds
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
-from bayglade.feeds import MAX_PAUSE, OLDEST_OF_WAIT, OTHERS_PAUSE, Feed, look_together
+from bayglade.feeds import MAX_AGE_IN_WAITS, MAX_RETRY_DELAY, SECONDARY_RETRY_DELAY, Feed, look_together
 from bayglade.rows import Changes, Position
 
 WAIT = 2.0
@@ -76,7 +76,7 @@
 def test_after_a_late_change_the_next_call_waits_for_less(follow) -> None:  # type: ignore[no-untyped-def]
     # On khangai scale-1 the settings were too old for keys after each such change.
     feed, script = follow((1.9, ROW), (None, {}))
-    assert script.waits[1] == pytest.approx(OLDEST_OF_WAIT * WAIT - 1.9)
+    assert script.waits[1] == pytest.approx(MAX_AGE_IN_WAITS * WAIT - 1.9)
     assert feed.age() == pytest.approx(ROUND_TRIP)
 
 
@@ -85,7 +85,7 @@
     for count in range(1, len(answers) + 1):
         feed, script = follow(*answers[:count])
         assert all(wait <= WAIT for wait in script.waits)
-        assert feed.age() <= OLDEST_OF_WAIT * WAIT
+        assert feed.age() <= MAX_AGE_IN_WAITS * WAIT
 
 
 def test_failures_do_not_make_knowledge_younger(follow) -> None:  # type: ignore[no-untyped-def]
@@ -125,12 +125,12 @@
     look_together(joined)
     for feed in joined:
         feed.start()
-    eventlet.sleep(OTHERS_PAUSE * 0.6)
+    eventlet.sleep(SECONDARY_RETRY_DELAY * 0.6)
     assert store.calls["first"] >= 4
     # Each asked when the store was lost, and once more since another feed found it lost too.
     assert max(store.calls["b"], store.calls["c"]) <= 3
     store.lost = False
-    eventlet.sleep(MAX_PAUSE + 0.2)
+    eventlet.sleep(MAX_RETRY_DELAY + 0.2)
     assert [feed.failing_since for feed in joined] == [None] * 3
     for feed in joined:
         assert feed.task is not None
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayglade.feeds import FIRST_PAUSE, PAUSE_SPREAD
+from bayglade.feeds import INITIAL_RETRY_DELAY, RETRY_JITTER
 from bayglade.freshness import (
     LEAST_BOUND_SECONDS,
     answer_within,
@@ -21,7 +21,7 @@
 @given(st.floats(LEAST_BOUND_SECONDS, 60.0))
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_a_silent_connection_is_replaced_within_the_bound(bound: float) -> None:
-    pause = FIRST_PAUSE * (1 + PAUSE_SPREAD)
+    pause = INITIAL_RETRY_DELAY * (1 + RETRY_JITTER)
     assert wait_within(bound) + answer_within(bound) + pause + CALL_SECONDS <= bound
 
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -200,7 +200,7 @@
 ) -> None:
     def scenario(fleet: Fleet) -> None:
         refuse(fleet, fleet.order.site[:READERS])
-        assert calls_within(fleet, 10.0) <= 10.0 * (2 * CALLS_A_SECOND + READERS / feeds.MAX_PAUSE)
+        assert calls_within(fleet, 10.0) <= 10.0 * (2 * CALLS_A_SECOND + READERS / feeds.MAX_RETRY_DELAY)
 
     in_fleet(monkeypatch, scenario)
 
@@ -211,7 +211,7 @@
         before = fleet.store.calls.copy()
         eventlet.sleep(10.0)
         made = fleet.store.calls - before
-        often = (READERS + MOST_UNABLE) / feeds.MAX_PAUSE
+        often = (READERS + MOST_UNABLE) / feeds.MAX_RETRY_DELAY
         seldom = DAEMONS / fanout.FOLLOWER_PAUSE
         for table in fleets.TABLES:
             calls = sum(count for (_, asked), count in made.items() if asked == table)
