--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -119,9 +119,9 @@
         """
         self.asks = asks
         for feed in self.feeds.values():
-            feed.rest(bool(asks))
-            feed.first_pause = FOLLOWER_FIRST_PAUSE if asks else INITIAL_RETRY_DELAY
-            feed.max_pause = FOLLOWER_PAUSE if asks else MAX_RETRY_DELAY
+            feed.rely_on_relays(bool(asks))
+            feed.initial_retry_delay = FOLLOWER_FIRST_PAUSE if asks else INITIAL_RETRY_DELAY
+            feed.max_retry_delay = FOLLOWER_PAUSE if asks else MAX_RETRY_DELAY
 
     def watch(self) -> None:
         """Ask readers that were not asked, or did not answer for long; called often."""
@@ -194,7 +194,7 @@
             if feed is not None:
                 changes = Changes(unpack(table.rows), table.position.version, table.position.epoch)
                 recovered = 0.0 if table.recovered_age is None else answered - table.recovered_age
-                feed.hear(changes, table.after, answered - table.age, recovered)
+                feed.receive(changes, table.after, answered - table.age, recovered)
         if member not in self.asks or now() - asked.at < LEAST_ASK_SECONDS:
             # The next watch asks, if it is still one of those to be asked. The update may just have
             # told that this daemon is gone.
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -100,10 +100,10 @@
         """When the position was last known to be in the store's history."""
 
         self.known_at = 0.0
-        self.quiet = False
+        self.idle = False
         """Whether the last own call waited its full time without a change."""
 
-        self.asked_at = 0.0
+        self.called_at = 0.0
         """When the last own call was sent."""
 
         self.failing_since: float | None = None
@@ -113,7 +113,7 @@
         self.recovered_at = 0.0
         """When the store last recovered from an outage that this feed noticed or was told of."""
 
-        self.scout: Feed | None = None
+        self.probe_feed: Feed | None = None
         """The feed that retries a failing store most often; None when it is this one."""
 
         self.on_lost: Callable[[], None] | None = None
@@ -125,29 +125,29 @@
         self.on_failing: Callable[[], None] | None = None
         """A second callback for when the store stops answering here."""
 
-        self.rest_seconds = 0.0
+        self.relay_valid_seconds = 0.0
         """Seconds for which relayed updates count as fresh enough to make no call; 0 for never."""
 
-        self.rests_until = 0.0
+        self.no_call_before = 0.0
         """No call is made before this time, whatever was relayed."""
 
-        self.first_pause = INITIAL_RETRY_DELAY
+        self.initial_retry_delay = INITIAL_RETRY_DELAY
         """Delay after the first failed call, in seconds; doubled with each further one up to the
         longest."""
 
-        self.max_pause = MAX_RETRY_DELAY
+        self.max_retry_delay = MAX_RETRY_DELAY
         """Longest delay between failing calls, in seconds."""
 
         self.failures = 0
         """Consecutive calls that failed."""
 
-        self.on_regained: Callable[[], None] | None = None
+        self.on_recovered: Callable[[], None] | None = None
         """Called when the store answers here again."""
 
-        self.back = Event()
+        self.wake_event = Event()
         """Interrupts a delay: there is a reason to reconsider at once whether to call the store."""
 
-        self.told_at = 0.0
+        self.relayed_known_at = 0.0
         """Every write acknowledged before this time is in what another daemon relayed."""
 
         self.rows: dict[str, tuple[Position, msgspec.Raw | None]] = {}
@@ -204,7 +204,7 @@
 
     def _step(self) -> None:
         asked, wait = now(), 0.0
-        self.asked_at = asked
+        self.called_at = asked
         after = self.position if self.current() else None
         whole = after is None
         if after is None:
@@ -219,19 +219,19 @@
             event("INFO", "store regained", table=self.table, out=round(now() - self.failing_since, 2))
             self.recovered_at = self._store_returned(self.failing_since)
             self.failing_since = None
-            if self.on_regained is not None:
-                self.on_regained()
-        self.quiet = not whole and not changes.rows and now() - asked >= wait
-        self.known_at = max(self.known_at, asked + wait if self.quiet else asked)
+            if self.on_recovered is not None:
+                self.on_recovered()
+        self.idle = not whole and not changes.rows and now() - asked >= wait
+        self.known_at = max(self.known_at, asked + wait if self.idle else asked)
         if whole:
-            self.rests_until = now() + SNAPSHOT_REST_SECONDS if self.rest_seconds else 0.0
+            self.no_call_before = now() + SNAPSHOT_REST_SECONDS if self.relay_valid_seconds else 0.0
         taken = self._take(changes, whole)
         if self.on_answer is not None:
             self.on_answer()
         if taken:
             eventlet.sleep(self.pause)
 
-    def hear(
+    def receive(
         self,
         changes: Changes,
         after: Position | None,
@@ -265,24 +265,24 @@
             event("INFO", "store told of", table=self.table, out=round(now() - self.failing_since, 2))
             self.failing_since = None
             # A retry delay after a failed call may last longer than relayed updates count as fresh.
-            self.ask_now()
+            self.wake()
         self.known_at = max(self.known_at, known_at)
-        self.told_at = max(self.told_at, known_at)
+        self.relayed_known_at = max(self.relayed_known_at, known_at)
         self._take(changes, after is None)
 
-    def rest(self, told: bool) -> None:
+    def rely_on_relays(self, told: bool) -> None:
         """Set whether to rely on updates that other daemons relay, within the limit set by the table's
         bound.
 
         :param told: whether others relay the table; if not, the feed follows the store.
         """
         seconds = rest_after(self.wait) if told else 0.0
-        if seconds == self.rest_seconds:
+        if seconds == self.relay_valid_seconds:
             return
-        self.rest_seconds = seconds
+        self.relay_valid_seconds = seconds
         if not seconds:
-            self.rests_until = 0.0
-            self.ask_now()
+            self.no_call_before = 0.0
+            self.wake()
 
     def since(self, after: Position | None) -> tuple[Changes, bool]:
         """Return the changes after a position, or a snapshot where they are not known.
@@ -416,24 +416,24 @@
 
     def _rest_left(self) -> float:
         """Return for how many seconds updates relayed by other daemons make a call unnecessary."""
-        if self.position is None or not self.rest_seconds:
+        if self.position is None or not self.relay_valid_seconds:
             return 0.0
-        return max(self.rests_until, self.told_at + self.rest_seconds) - now()
+        return max(self.no_call_before, self.relayed_known_at + self.relay_valid_seconds) - now()
 
-    def ask_now(self) -> None:
+    def wake(self) -> None:
         """Wake the feed so that it reconsiders at once whether to call the store."""
         if self.failing_since is not None:
             event("INFO", "feed woken", table=self.table)
-        if not self.back.ready():
-            self.back.send()
+        if not self.wake_event.ready():
+            self.wake_event.send()
 
     def _store_returned(self, lost_at: float) -> float:
         """Return when the store recovered, as seen by whichever feed noticed first.
 
         :param lost_at: when this feed lost the store.
         """
-        if self.scout is not None and self.scout.recovered_at > lost_at:
-            return self.scout.recovered_at
+        if self.probe_feed is not None and self.probe_feed.recovered_at > lost_at:
+            return self.probe_feed.recovered_at
         return now()
 
     def _pause(self) -> None:
@@ -442,12 +442,12 @@
         first, longest = (
             (SECONDARY_RETRY_DELAY, MAX_SECONDARY_RETRY_DELAY)
             if lost
-            else (self.first_pause, self.max_pause)
+            else (self.initial_retry_delay, self.max_retry_delay)
         )
         seconds = min(longest, first * 2.0 ** (self.failures - 1))
         seconds *= self.rng.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER)
         # Logged on every failure: the first one alone does not tell which table lags, or for how long.
-        took = round(now() - self.asked_at, 2)
+        took = round(now() - self.called_at, 2)
         event("INFO", "store call failed", table=self.table, took=took, pause=round(seconds, 2))
         if not lost:
             self._wait(seconds)
@@ -460,13 +460,13 @@
 
     def _lost_everywhere(self) -> bool:
         """Return whether the probe feed finds the store unavailable too."""
-        return self.scout is not None and self.scout.failing_since is not None
+        return self.probe_feed is not None and self.probe_feed.failing_since is not None
 
     def _wait(self, seconds: float) -> None:
         """Wait before the next call, or until woken."""
-        self.back = Event()
+        self.wake_event = Event()
         with eventlet.Timeout(seconds, False):
-            self.back.wait()
+            self.wake_event.wait()
 
     def _next_wait(self) -> float:
         """Return how long the next call may wait for a change, in seconds."""
@@ -474,14 +474,14 @@
         # While nothing changes, waits end at whole multiples of their length on the clock. Those of several
         # tables then end together and are relayed in one message, which wakes followers less often.
         left = self.wait - now() % self.wait
-        return min(wait, left) if self.quiet and left >= MIN_WAIT else wait
+        return min(wait, left) if self.idle and left >= MIN_WAIT else wait
 
     def turned_away(self) -> bool:
         """Return whether an own call to the store failed recently, even if others relay the table."""
         return self.lost_at > 0 and now() - self.lost_at < RECENT_FAILURE_SECONDS
 
     def _failed(self, error: PlatformUnavailable) -> None:
-        self.lost_at, self.quiet = now(), False
+        self.lost_at, self.idle = now(), False
         self.failures += 1
         if self.failing_since is None:
             self.failing_since = now()
@@ -507,9 +507,9 @@
     def ask_others(regained: Feed) -> None:
         for feed in joined:
             if feed is not regained and feed.failing_since is not None:
-                feed.ask_now()
+                feed.wake()
 
     for feed in joined:
-        feed.scout = joined[0] if feed is not joined[0] else None
+        feed.probe_feed = joined[0] if feed is not joined[0] else None
         feed.on_lost = partial(tell_others, feed)
-        feed.on_regained = partial(ask_others, feed)
+        feed.on_recovered = partial(ask_others, feed)
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -293,7 +293,7 @@
     def told_meanwhile(*_: object) -> Changes:
         table.put("a", b"2")
         reader.feed._step()
-        follower.feed.hear(*reader.feed.since(None)[:1], None, clock.at)
+        follower.feed.receive(*reader.feed.since(None)[:1], None, clock.at)
         return stale
 
     follower.feed.store = type("Stale", (), {"changes": told_meanwhile})()
@@ -354,14 +354,14 @@
     table = Table()
     follower = Daemon(table)
     follower.fanout.assign((MemberId("d0"),))
-    assert follower.feed.max_pause == FOLLOWER_PAUSE
+    assert follower.feed.max_retry_delay == FOLLOWER_PAUSE
     started = time.monotonic()
     waiting = eventlet.spawn(follower.feed._wait, 30.0)
     eventlet.sleep(0)
     follower.fanout.assign(())
     waiting.wait()
     assert time.monotonic() - started < 10.0
-    assert follower.feed.max_pause == feeds.MAX_RETRY_DELAY
+    assert follower.feed.max_retry_delay == feeds.MAX_RETRY_DELAY
 
 
 def test_a_daemon_at_its_start_waits_a_moment_for_others_to_tell_it(clock: Clock) -> None:
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -68,14 +68,14 @@
     stored.restore(2)
     other = Feed(client, "op", 1.0, lambda changes, whole: None)
     other._step()
-    feed.hear(other.since(None)[0], None, known_at=1.0, recovered_at=feed.confirmed_at + 1.0)
+    feed.receive(other.since(None)[0], None, known_at=1.0, recovered_at=feed.confirmed_at + 1.0)
     assert [line[:2] for line in lines] == [("INFO", "update dropped")]
 
 
 def known_feed(epoch: int, version: int) -> Feed:
     """Return a feed that knows its table up to a position."""
     feed = Feed(None, "t", 1.0, lambda changes, whole: None)  # type: ignore[arg-type]
-    feed.hear(Changes(ROW, version, StoreEpoch(epoch)), None, known_at=1.0)
+    feed.receive(Changes(ROW, version, StoreEpoch(epoch)), None, known_at=1.0)
     return feed
 
 
@@ -90,8 +90,8 @@
 )
 def test_what_is_not_taken_in_makes_nothing_fresher(changes: Changes, after: Position | None) -> None:
     feed = known_feed(2, 10)
-    feed.hear(changes, after, known_at=50.0, recovered_at=40.0)
-    assert (feed.position, feed.known_at, feed.told_at) == (Position(StoreEpoch(2), 10), 1.0, 1.0)
+    feed.receive(changes, after, known_at=50.0, recovered_at=40.0)
+    assert (feed.position, feed.known_at, feed.relayed_known_at) == (Position(StoreEpoch(2), 10), 1.0, 1.0)
     assert feed.recovered_at == 0.0
     assert feed.dropped == 1
 
@@ -102,14 +102,18 @@
     # A reader that read the table earlier tells of it at a lower version for as long as nothing changes.
     feed = known_feed(epoch, 10)
     told = Changes({}, 9, StoreEpoch(epoch))
-    feed.hear(told, None if after is None else Position(StoreEpoch(epoch), after), known_at=50.0)
-    assert (feed.position, feed.known_at, feed.told_at) == (Position(StoreEpoch(epoch), 10), 50.0, 50.0)
+    feed.receive(told, None if after is None else Position(StoreEpoch(epoch), after), known_at=50.0)
+    assert (feed.position, feed.known_at, feed.relayed_known_at) == (
+        Position(StoreEpoch(epoch), 10),
+        50.0,
+        50.0,
+    )
     assert feed.dropped == 0
 
 
 def test_less_than_is_known_from_a_store_that_was_away_makes_nothing_fresher() -> None:
     feed = known_feed(UNKNOWN_EPOCH, 10)
-    feed.hear(Changes(ROW, 9), None, known_at=50.0, recovered_at=feed.confirmed_at + 1.0)
+    feed.receive(Changes(ROW, 9), None, known_at=50.0, recovered_at=feed.confirmed_at + 1.0)
     assert (feed.known_at, feed.dropped) == (1.0, 1)
 
 
@@ -119,13 +123,13 @@
     back_at = feed.confirmed_at + 0.001
     eventlet.sleep(0.01)
     feed._step()
-    feed.hear(Changes({}, 9), None, known_at=feed.known_at + 50.0, recovered_at=back_at)
+    feed.receive(Changes({}, 9), None, known_at=feed.known_at + 50.0, recovered_at=back_at)
     assert feed.dropped == 0
 
 
 def test_an_update_of_a_later_epoch_is_taken_in_at_a_lower_version() -> None:
     feed = known_feed(2, 10)
-    feed.hear(Changes(ROW, 4, StoreEpoch(3)), None, known_at=50.0)
+    feed.receive(Changes(ROW, 4, StoreEpoch(3)), None, known_at=50.0)
     assert (feed.position, feed.known_at) == (Position(StoreEpoch(3), 4), 50.0)
 
 
