--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -208,7 +208,7 @@
 
         :param me: this daemon; one of them when its own call failed lately.
         """
-        return self.unable | {me} if self.proof.turned_away() else self.unable
+        return self.unable | {me} if self.proof.failed_recently() else self.unable
 
     def forget(self, members: Container[MemberId]) -> None:
         """Drop what is known of daemons that are gone.
@@ -230,7 +230,7 @@
         """Return the tables of which there is something to tell. One that the store does not answer for
         holds up no other: its askers read the store themselves, for that table, after a while."""
         feeds = self.feeds.items()
-        return {name: feed for name, feed in feeds if feed.failing_since is None and feed.current()}
+        return {name: feed for name, feed in feeds if feed.failing_since is None and feed.is_current()}
 
     def _changed(self, member: MemberId) -> bool:
         """Tell whether a table is newer here than whoever waits has it."""
@@ -258,7 +258,7 @@
         """Return the update of one table; packed once for all that ask from one position."""
         packed = self.packed.get((name, have))
         if packed is None or packed.position != feed.position:
-            changes, whole = feed.since(have)
+            changes, whole = feed.changes_since(have)
             packed = TableUpdate(None if whole else have, changes.position, 0.0, pack(changes.rows))
             if len(self.packed) > len(self.feeds) * 8:
                 self.packed.clear()
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -153,17 +153,17 @@
         self.rows: dict[str, tuple[Position, msgspec.Raw | None]] = {}
         """The local copy with the position that each row came with; removed rows are included."""
 
-        self.complete_from = ORIGIN
+        self.removals_known_from = ORIGIN
         """All rows removed after this position are still remembered."""
 
-        self.gone_after: Position | None = None
+        self.history_gone_after: Position | None = None
         """The position whose history was discarded or replaced; None once a snapshot has been read
         since."""
 
         self.dropped = 0
         """Updates that were rejected."""
 
-        self.tell_dropped = limited(DROPPED_LOGS_PER_SECOND)
+        self.log_dropped = limited(DROPPED_LOGS_PER_SECOND)
         self.rng = random.Random()
         self.task: eventlet.greenthread.GreenThread | None = None
 
@@ -183,41 +183,41 @@
     def interrupt(self) -> None:
         """Restart the current call: another feed found the store unavailable, and nobody relays the
         table."""
-        if self.failing_since is None and self.task is not None and self._rest_left() <= 0:
+        if self.failing_since is None and self.task is not None and self._seconds_to_call() <= 0:
             self.failing_since = now()
             self.start()
 
     def run(self) -> None:
         """Follow the table forever."""
         while True:
-            if (rest := self._rest_left()) > 0:
-                self._wait(rest)
+            if (rest := self._seconds_to_call()) > 0:
+                self._wait_for_wake(rest)
                 continue
             try:
-                self._step()
+                self._poll()
             except HistoryGone:
                 event("WARNING", "history gone", table=self.table, position=self.position)
-                self.gone_after, self.position = self.position, None
+                self.history_gone_after, self.position = self.position, None
             except PlatformUnavailable as error:
-                self._failed(error)
-                self._pause()
+                self._record_failure(error)
+                self._back_off()
 
-    def _step(self) -> None:
+    def _poll(self) -> None:
         asked, wait = now(), 0.0
         self.called_at = asked
-        after = self.position if self.current() else None
+        after = self.position if self.is_current() else None
         whole = after is None
         if after is None:
-            changes = self._positioned(self.store.snapshot(self.table), self.gone_after)
+            changes = self._with_position(self.store.snapshot(self.table), self.history_gone_after)
         else:
             wait = self._next_wait()
-            changes = self._positioned(self.store.changes(self.table, after, wait), after)
+            changes = self._with_position(self.store.changes(self.table, after, wait), after)
             if was_restored(after, changes.position):
                 raise HistoryGone("the store was restored", step="read", peer="store")
         self.lost_at, self.failures, self.confirmed_at = 0.0, 0, asked
         if self.failing_since is not None:
             event("INFO", "store regained", table=self.table, out=round(now() - self.failing_since, 2))
-            self.recovered_at = self._store_returned(self.failing_since)
+            self.recovered_at = self._recovery_time(self.failing_since)
             self.failing_since = None
             if self.on_recovered is not None:
                 self.on_recovered()
@@ -225,7 +225,7 @@
         self.known_at = max(self.known_at, asked + wait if self.idle else asked)
         if whole:
             self.no_call_before = now() + SNAPSHOT_REST_SECONDS if self.relay_valid_seconds else 0.0
-        taken = self._take(changes, whole)
+        taken = self._apply_changes(changes, whole)
         if self.on_answer is not None:
             self.on_answer()
         if taken:
@@ -251,13 +251,13 @@
         """
         self.history.note(changes.epoch)
         if changes.epoch < self.history.epoch:
-            self._dropped("earlier epoch", changes, after)
+            self._count_dropped("earlier epoch", changes, after)
             return
-        if after is not None and not self._follows(after, changes):
-            self._dropped("gap", changes, after)
+        if after is not None and not self._is_contiguous(after, changes):
+            self._count_dropped("gap", changes, after)
             return
-        if self._may_be_restored(changes, recovered_at) or self._stale(changes, self.gone_after):
-            self._dropped("older", changes, after)
+        if self._may_be_restored(changes, recovered_at) or self._stale(changes, self.history_gone_after):
+            self._count_dropped("older", changes, after)
             return
         # Entries that expired during an outage are judged by when the store recovered.
         self.recovered_at = max(self.recovered_at, recovered_at)
@@ -268,15 +268,15 @@
             self.wake()
         self.known_at = max(self.known_at, known_at)
         self.relayed_known_at = max(self.relayed_known_at, known_at)
-        self._take(changes, after is None)
+        self._apply_changes(changes, after is None)
 
-    def rely_on_relays(self, told: bool) -> None:
+    def rely_on_relays(self, relayed: bool) -> None:
         """Set whether to rely on updates that other daemons relay, within the limit set by the table's
         bound.
 
         :param told: whether others relay the table; if not, the feed follows the store.
         """
-        seconds = rest_after(self.wait) if told else 0.0
+        seconds = rest_after(self.wait) if relayed else 0.0
         if seconds == self.relay_valid_seconds:
             return
         self.relay_valid_seconds = seconds
@@ -284,24 +284,24 @@
             self.no_call_before = 0.0
             self.wake()
 
-    def since(self, after: Position | None) -> tuple[Changes, bool]:
+    def changes_since(self, after: Position | None) -> tuple[Changes, bool]:
         """Return the changes after a position, or a snapshot where they are not known.
 
         :param after: the position; None for a snapshot.
         :return: the rows, and whether they are a snapshot.
         """
         position = self.position or ORIGIN
-        if after is not None and after.epoch == position.epoch and after >= self.complete_from:
+        if after is not None and after.epoch == position.epoch and after >= self.removals_known_from:
             changed: Rows = {key: value for key, (at, value) in self.rows.items() if at > after}
             return Changes(changed, position.version, position.epoch), False
         whole: Rows = {key: value for key, (_, value) in self.rows.items() if value is not None}
         return Changes(whole, position.version, position.epoch), True
 
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether the table is known as of the newest epoch of the store."""
         return self.position is not None and self.position.epoch >= self.history.epoch
 
-    def _positioned(self, changes: Changes, known: Position | None) -> Changes:
+    def _with_position(self, changes: Changes, known: Position | None) -> Changes:
         """Return an answer of the store with its epoch filled in.
 
         :param changes: the answer.
@@ -313,12 +313,12 @@
             changes = msgspec.structs.replace(changes, epoch=self.history.epoch)
         self.history.note(changes.epoch)
         if changes.epoch < self.history.epoch:
-            self._dropped("earlier epoch", changes, None)
+            self._count_dropped("earlier epoch", changes, None)
             raise PlatformUnavailable(
                 "the answer is from an earlier epoch of the store", step="read", peer="store"
             )
         if self._stale(changes, known):
-            self._dropped("older", changes, None)
+            self._count_dropped("older", changes, None)
             raise PlatformUnavailable("the answer is older than the local copy", step="read", peer="store")
         return changes
 
@@ -344,18 +344,18 @@
             return False
         return changes.epoch == UNKNOWN_EPOCH and recovered_at > self.confirmed_at
 
-    def _follows(self, after: Position, changes: Changes) -> bool:
+    def _is_contiguous(self, after: Position, changes: Changes) -> bool:
         """Return whether no change is missing between the position known here and these changes."""
         return self.position is not None and after.epoch == changes.epoch and after <= self.position
 
     def _store_restored(self) -> None:
         """Read the whole table again at once, unless another daemon relays it."""
         # A feed without a position is reading the whole table already.
-        behind = self.position is not None and not self.current()
-        if self.task is not None and behind and self._rest_left() <= 0:
+        behind = self.position is not None and not self.is_current()
+        if self.task is not None and behind and self._seconds_to_call() <= 0:
             self.start()
 
-    def _take(self, changes: Changes, whole: bool) -> bool:
+    def _apply_changes(self, changes: Changes, whole: bool) -> bool:
         """Apply rows unless newer ones arrived another way meanwhile; return whether there were any."""
         if self.position is not None and changes.position < self.position:
             return False
@@ -363,7 +363,7 @@
             return False
         self._note_restored(changes)
         self.position, self.confirmed_at = changes.position, now()
-        self._remember(changes, whole)
+        self._keep_rows(changes, whole)
         if not whole and not changes.rows:
             return False
         self.apply(changes, whole)
@@ -371,8 +371,8 @@
 
     def _note_restored(self, changes: Changes) -> None:
         """Log what differs after the store was restored; rows missing from the backup may be rewritten."""
-        before = self.position or self.gone_after
-        self.gone_after = None
+        before = self.position or self.history_gone_after
+        self.history_gone_after = None
         if not was_restored(before, changes.position):
             return
         self.recovered_at = max(self.recovered_at, self.history.restored_at or now())
@@ -389,10 +389,10 @@
             changed=sum(read[key] != known[key] for key in known.keys() & read.keys()),
         )
 
-    def _dropped(self, reason: str, changes: Changes, after: Position | None) -> None:
+    def _count_dropped(self, reason: str, changes: Changes, after: Position | None) -> None:
         """Count and log an update that was rejected."""
         self.dropped += 1
-        self.tell_dropped(
+        self.log_dropped(
             "INFO",
             "update dropped",
             table=self.table,
@@ -404,17 +404,17 @@
             rows=len(changes.rows),
         )
 
-    def _remember(self, changes: Changes, whole: bool) -> None:
+    def _keep_rows(self, changes: Changes, whole: bool) -> None:
         if whole:
             self.rows.clear()
-            self.complete_from = changes.position
+            self.removals_known_from = changes.position
         self.rows.update((key, (changes.position, value)) for key, value in changes.rows.items())
         removed = sorted((at, key) for key, (at, value) in self.rows.items() if value is None)
         for at, key in removed[: max(0, len(removed) - MAX_REMOVED_ROWS)]:
             del self.rows[key]
-            self.complete_from = max(self.complete_from, at)
+            self.removals_known_from = max(self.removals_known_from, at)
 
-    def _rest_left(self) -> float:
+    def _seconds_to_call(self) -> float:
         """Return for how many seconds updates relayed by other daemons make a call unnecessary."""
         if self.position is None or not self.relay_valid_seconds:
             return 0.0
@@ -427,7 +427,7 @@
         if not self.wake_event.ready():
             self.wake_event.send()
 
-    def _store_returned(self, lost_at: float) -> float:
+    def _recovery_time(self, lost_at: float) -> float:
         """Return when the store recovered, as seen by whichever feed noticed first.
 
         :param lost_at: when this feed lost the store.
@@ -436,9 +436,9 @@
             return self.probe_feed.recovered_at
         return now()
 
-    def _pause(self) -> None:
+    def _back_off(self) -> None:
         """Back off after a failed call, exponentially and with jitter."""
-        lost = self._lost_everywhere()
+        lost = self._probe_failing()
         first, longest = (
             (SECONDARY_RETRY_DELAY, MAX_SECONDARY_RETRY_DELAY)
             if lost
@@ -450,19 +450,19 @@
         took = round(now() - self.called_at, 2)
         event("INFO", "store call failed", table=self.table, took=took, pause=round(seconds, 2))
         if not lost:
-            self._wait(seconds)
+            self._wait_for_wake(seconds)
             return
         until = now() + seconds
-        while self._lost_everywhere() and now() < until:
+        while self._probe_failing() and now() < until:
             # The probe feed wakes this one when its own call succeeds, but not when it recovers through a
             # relayed update. Polling its state keeps the server list from lagging by another 4 to 10 s.
-            self._wait(min(MAX_RETRY_DELAY, until - now()))
+            self._wait_for_wake(min(MAX_RETRY_DELAY, until - now()))
 
-    def _lost_everywhere(self) -> bool:
+    def _probe_failing(self) -> bool:
         """Return whether the probe feed finds the store unavailable too."""
         return self.probe_feed is not None and self.probe_feed.failing_since is not None
 
-    def _wait(self, seconds: float) -> None:
+    def _wait_for_wake(self, seconds: float) -> None:
         """Wait before the next call, or until woken."""
         self.wake_event = Event()
         with eventlet.Timeout(seconds, False):
@@ -476,11 +476,11 @@
         left = self.wait - now() % self.wait
         return min(wait, left) if self.idle and left >= MIN_WAIT else wait
 
-    def turned_away(self) -> bool:
+    def failed_recently(self) -> bool:
         """Return whether an own call to the store failed recently, even if others relay the table."""
         return self.lost_at > 0 and now() - self.lost_at < RECENT_FAILURE_SECONDS
 
-    def _failed(self, error: PlatformUnavailable) -> None:
+    def _record_failure(self, error: PlatformUnavailable) -> None:
         self.lost_at, self.idle = now(), False
         self.failures += 1
         if self.failing_since is None:
@@ -492,7 +492,7 @@
                 self.on_failing()
 
 
-def look_together(feeds: Iterable[Feed]) -> None:
+def link_feeds(feeds: Iterable[Feed]) -> None:
     """Link all feeds of one store so that each rechecks it when one of them loses or regains it.
 
     :param feeds: the feeds; the first is the probe feed, which retries most often.
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -19,7 +19,7 @@
 from bayglade.ends import watch_ends
 from bayglade.epochs import GuardedTable, StoreHistory
 from bayglade.exceptions import BaygladeError, InvalidSettings, Stopping
-from bayglade.feeds import Feed, look_together
+from bayglade.feeds import Feed, link_feeds
 from bayglade.fleet import Fleet
 from bayglade.freshness import (
     LEAST_BOUND_SECONDS,
@@ -167,7 +167,7 @@
             self.rng,
         )
         self.loader.daemons = self.peering.count
-        look_together(self._feeds())
+        link_feeds(self._feeds())
         self.presence = Presence(self.metrics)
         self.active: set[RequestId] = set()
         self.draining = False
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -18,7 +18,7 @@
 from bayglade.epochs import StoreHistory
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
 from bayglade.fanout import Fanout
-from bayglade.feeds import Feed, look_together
+from bayglade.feeds import Feed, link_feeds
 from bayglade.freshness import answer_within, gather_within, wait_within
 from bayglade.ids import UNKNOWN_EPOCH, HallName, MemberId, StoreEpoch
 from bayglade.readers import LOST_SECONDS, Lost, Order, Plan, make_plan, streams_of
@@ -148,7 +148,7 @@
         }
         self.fanout = Fanout(self.feeds, self.feeds["document"], self.push, "x:1")
         self.fanout.assign((name,))
-        look_together(self.feeds.values())
+        link_feeds(self.feeds.values())
         self.lost = Lost()
         self.plan = Plan(readers.Duty.SITE)
         self.heard: dict[MemberId, float] = {}
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -11,7 +11,7 @@
 from bayglade.entries.wire import Poll, Unable, Updates
 from bayglade.exceptions import PeerError, PlatformUnavailable
 from bayglade.fanout import FOLLOWER_PAUSE, LEAST_TELL_PART, Fanout, pack, unpack
-from bayglade.feeds import Feed, look_together
+from bayglade.feeds import Feed, link_feeds
 from bayglade.freshness import rest_after
 from bayglade.ids import UNKNOWN_EPOCH, MemberId
 from bayglade.rows import Changes, Position
@@ -98,7 +98,7 @@
     reader.fanout.assign(())
     follower.fanout.assign((MemberId("d0"),))
     table.put("a", b"1")
-    reader.feed._step()
+    reader.feed._poll()
     return table, reader, follower
 
 
@@ -125,7 +125,7 @@
     follower.fanout.watch()
     reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     assert reader.outbox == []
-    reader.feed._step()
+    reader.feed._poll()
     follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.taken == {"a": b"2", "b": b"3"}
     assert table.calls == 2
@@ -146,7 +146,7 @@
     # Only the time between the question and the answer is known to have passed at the reader:
     # none, and its own knowledge was 3.5 seconds old.
     assert follower.feed.age() == pytest.approx(7.0 + 3.5)
-    assert follower.feed._rest_left() <= 0
+    assert follower.feed._seconds_to_call() <= 0
 
 
 def test_an_answer_to_an_earlier_question_is_passed_over(
@@ -167,7 +167,7 @@
 ) -> None:
     table, reader, follower = hall
     table.lost = True
-    reader.feed._failed(PlatformUnavailable("no answer", step="read", peer="store"))
+    reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
     follower.fanout.watch()
     ask = follower.sent()
     reader.fanout.heard_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
@@ -178,7 +178,7 @@
     reader.fanout.tell()
     assert reader.outbox == []
     table.lost = False
-    reader.feed._step()
+    reader.feed._poll()
     follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.fanout.unable == set()
     assert follower.taken == {"a": b"1"}
@@ -193,7 +193,7 @@
     follower.fanout.watch()
     reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     assert reader.outbox == []
-    reader.feed._failed(PlatformUnavailable("no answer", step="read", peer="store"))
+    reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
     assert isinstance(reader.sent(), Unable)
     assert MemberId("d5") in reader.fanout.waiting
 
@@ -239,11 +239,11 @@
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
-    assert follower.feed._rest_left() <= 0
+    assert follower.feed._seconds_to_call() <= 0
     exchange(reader, follower)
-    assert follower.feed._rest_left() == pytest.approx(REST)
+    assert follower.feed._seconds_to_call() == pytest.approx(REST)
     clock.at += REST
-    assert follower.feed._rest_left() <= 0
+    assert follower.feed._seconds_to_call() <= 0
 
 
 def test_a_daemon_that_the_store_turns_away_goes_on_by_what_others_tell(
@@ -254,13 +254,13 @@
     clock.at += 1.0
     follower.feed.failing_since = clock.at
     reader.feed.store.put("a", b"2")  # type: ignore[attr-defined]
-    reader.feed._step()
+    reader.feed._poll()
     follower.fanout.watch()
     reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.taken == {"a": b"2"}
     assert follower.feed.failing_since is None
-    assert follower.feed._rest_left() > 0
+    assert follower.feed._seconds_to_call() > 0
     # The reader never lost the store: what is gone there is gone, and did not lapse.
     assert follower.feed.recovered_at == 0.0
 
@@ -273,7 +273,7 @@
     reader.feed.failing_since = follower.feed.failing_since = clock.at
     clock.at += 3.0
     reader.feed.store.put("a", None)  # type: ignore[attr-defined]
-    reader.feed._step()
+    reader.feed._poll()
     back_at = clock.at
     clock.at += 0.5
     follower.fanout.watch()
@@ -292,12 +292,12 @@
 
     def told_meanwhile(*_: object) -> Changes:
         table.put("a", b"2")
-        reader.feed._step()
-        follower.feed.receive(*reader.feed.since(None)[:1], None, clock.at)
+        reader.feed._poll()
+        follower.feed.receive(*reader.feed.changes_since(None)[:1], None, clock.at)
         return stale
 
     follower.feed.store = type("Stale", (), {"changes": told_meanwhile})()
-    follower.feed._step()
+    follower.feed._poll()
     assert follower.taken == {"a": b"2"}
     assert follower.feed.position == at(table.version)
 
@@ -306,8 +306,8 @@
     table, reader, _ = hall
     table.put("a", None)
     reader.feed.position = None
-    reader.feed._step()
-    changes, whole = reader.feed.since(at(1))
+    reader.feed._poll()
+    changes, whole = reader.feed.changes_since(at(1))
     assert whole
     assert changes.rows == {}
 
@@ -317,10 +317,10 @@
     for n in range(feeds.MAX_REMOVED_ROWS + 10):
         table.put(f"k{n}", b"1")
         table.put(f"k{n}", None)
-        reader.feed._step()
+        reader.feed._poll()
     assert len(reader.feed.rows) <= feeds.MAX_REMOVED_ROWS + 1
-    assert reader.feed.since(at(1))[1]
-    assert not reader.feed.since(at(table.version - 1))[1]
+    assert reader.feed.changes_since(at(1))[1]
+    assert not reader.feed.changes_since(at(table.version - 1))[1]
 
 
 def test_feeds_of_one_store_look_together_when_one_finds_it_lost(
@@ -331,8 +331,8 @@
     for feed in (reader.feed, follower.feed):
         feed.task = object()  # type: ignore[assignment]
         feed.start = lambda feed=feed: started.append(feed)  # type: ignore[method-assign]
-    look_together((reader.feed, follower.feed))
-    reader.feed._failed(PlatformUnavailable("no answer", step="read", peer="store"))
+    link_feeds((reader.feed, follower.feed))
+    reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
     assert started == [follower.feed]
     assert follower.feed.failing_since is not None
 
@@ -356,7 +356,7 @@
     follower.fanout.assign((MemberId("d0"),))
     assert follower.feed.max_retry_delay == FOLLOWER_PAUSE
     started = time.monotonic()
-    waiting = eventlet.spawn(follower.feed._wait, 30.0)
+    waiting = eventlet.spawn(follower.feed._wait_for_wake, 30.0)
     eventlet.sleep(0)
     follower.fanout.assign(())
     waiting.wait()
@@ -368,11 +368,11 @@
     table = Table()
     daemon = Daemon(table)
     daemon.fanout.assign((MemberId("d0"),))
-    assert daemon.feed._rest_left() <= 0
-    daemon.feed._step()
-    assert daemon.feed._rest_left() == pytest.approx(feeds.SNAPSHOT_REST_SECONDS)
+    assert daemon.feed._seconds_to_call() <= 0
+    daemon.feed._poll()
+    assert daemon.feed._seconds_to_call() == pytest.approx(feeds.SNAPSHOT_REST_SECONDS)
     daemon.fanout.assign(())
-    assert daemon.feed._rest_left() <= 0
+    assert daemon.feed._seconds_to_call() <= 0
 
 
 def test_an_update_that_takes_its_sender_out_of_the_roster_is_taken(
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -8,7 +8,7 @@
 
 from bayglade import feeds
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
-from bayglade.feeds import MAX_AGE_IN_WAITS, MAX_RETRY_DELAY, SECONDARY_RETRY_DELAY, Feed, look_together
+from bayglade.feeds import MAX_AGE_IN_WAITS, MAX_RETRY_DELAY, SECONDARY_RETRY_DELAY, Feed, link_feeds
 from bayglade.rows import Changes, Position
 
 WAIT = 2.0
@@ -50,12 +50,12 @@
         script = Script(*answers)
         monkeypatch.setattr(feeds, "now", script.now)
         feed = Feed(script, "t", WAIT, lambda changes, whole: None)
-        feed._step()
+        feed._poll()
         for _ in answers:
             try:
-                feed._step()
+                feed._poll()
             except PlatformUnavailable as error:
-                feed._failed(error)
+                feed._record_failure(error)
             except HistoryGone:
                 feed.position = None
         return feed, script
@@ -122,7 +122,7 @@
 def test_one_feed_looks_for_a_lost_store_and_tells_the_others() -> None:
     store = LostStore()
     joined = [Feed(store, name, WAIT, lambda changes, whole: None) for name in ("first", "b", "c")]
-    look_together(joined)
+    link_feeds(joined)
     for feed in joined:
         feed.start()
     eventlet.sleep(SECONDARY_RETRY_DELAY * 0.6)
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -20,7 +20,7 @@
 
 from bayglade import feeds
 from bayglade.exceptions import PlatformUnavailable
-from bayglade.feeds import Feed, look_together
+from bayglade.feeds import Feed, link_feeds
 from bayglade.freshness import wait_within
 from bayglade.ids import UNKNOWN_EPOCH, MemberId, StoreEpoch
 from bayglade.readers import READERS
@@ -76,7 +76,7 @@
     """Return how long after a server left a daemon knows of it, when the store was away before."""
     store = Store(away_from=5.0, away_until=5.0 + seconds_away)
     joined = [Feed(store, table, wait, lambda *_: None) for table, wait in WAITS.items()]
-    look_together(joined)
+    link_feeds(joined)
     for number, feed in enumerate(joined):
         feed.rng = random.Random(100 * seed + number)
         feed.start()
--- a/tests/test_restored_fleets.py
+++ b/tests/test_restored_fleets.py
@@ -45,7 +45,7 @@
             for table, feed in daemon.feeds.items():
                 least = self.at(feed.known_at, table)
                 # A table that is about to be read whole is still known as it was.
-                known = feed.position or feed.gone_after
+                known = feed.position or feed.history_gone_after
                 if least is not None and (known is None or known < least):
                     found.append(f"{daemon.name} {table}: {known} at {feed.known_at}, not {least}")
         return found
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -64,11 +64,11 @@
     for _ in range(4):
         stored.put("op", "config", 1)
     feed = Feed(client, "op", 1.0, lambda changes, whole: None)
-    feed._step()
+    feed._poll()
     stored.restore(2)
     other = Feed(client, "op", 1.0, lambda changes, whole: None)
-    other._step()
-    feed.receive(other.since(None)[0], None, known_at=1.0, recovered_at=feed.confirmed_at + 1.0)
+    other._poll()
+    feed.receive(other.changes_since(None)[0], None, known_at=1.0, recovered_at=feed.confirmed_at + 1.0)
     assert [line[:2] for line in lines] == [("INFO", "update dropped")]
 
 
@@ -119,10 +119,10 @@
 
 def test_a_position_that_the_store_has_after_an_outage_is_in_its_history() -> None:
     feed = Feed(Answers(Changes(ROW, 10), Changes({}, 10)), "t", 1.0, lambda changes, whole: None)
-    feed._step()
+    feed._poll()
     back_at = feed.confirmed_at + 0.001
     eventlet.sleep(0.01)
-    feed._step()
+    feed._poll()
     feed.receive(Changes({}, 9), None, known_at=feed.known_at + 50.0, recovered_at=back_at)
     assert feed.dropped == 0
 
@@ -137,7 +137,7 @@
     feed = known_feed(2, 10)
     fanout = Fanout({"t": feed}, feed, lambda member, message: None, "x:1")
     fanout.heard_poll(MemberId("d5"), Poll(1, {"t": Position(StoreEpoch(3), 1)}, "x:2"))
-    assert not feed.current()
+    assert not feed.is_current()
     assert MemberId("d5") in fanout.waiting
 
 
@@ -147,7 +147,7 @@
     feed = Feed(client, "op", 1.0, lambda changes, whole: None, history=history)
     history.note(StoreEpoch(5))
     with pytest.raises(PlatformUnavailable):
-        feed._step()
+        feed._poll()
     assert feed.known_at == 0.0
 
 
@@ -172,23 +172,23 @@
     late = Changes(ROW, 9, StoreEpoch(2))
     store = Answers(Changes(ROW, 10, StoreEpoch(2)), *[HistoryGone("gone")] * gone, late)
     feed = Feed(store, "t", 1.0, lambda changes, whole: None)
-    feed._step()
+    feed._poll()
     known_at = feed.known_at
     if gone:
         with pytest.raises(HistoryGone):
-            feed._step()
-        feed.gone_after, feed.position = feed.position, None
+            feed._poll()
+        feed.history_gone_after, feed.position = feed.position, None
     with pytest.raises(PlatformUnavailable):
-        feed._step()
+        feed._poll()
     assert feed.known_at == known_at
 
 
 def test_an_answer_below_what_was_known_has_a_table_without_epochs_read_anew() -> None:
     store = Answers(Changes(ROW, 10), Changes(ROW, 9), Changes(ROW, 8))
     feed = Feed(store, "t", 1.0, lambda changes, whole: None)
-    feed._step()
+    feed._poll()
     with pytest.raises(HistoryGone):
-        feed._step()
-    feed.gone_after, feed.position = feed.position, None
-    feed._step()
+        feed._poll()
+    feed.history_gone_after, feed.position = feed.position, None
+    feed._poll()
     assert feed.position == Position(UNKNOWN_EPOCH, 8)
