--- a/bayglade/catchup.py
+++ b/bayglade/catchup.py
@@ -1,7 +1,7 @@
-"""Catching up: a daemon that starts serves by no older settings than the other daemons have.
+"""Catching up: a daemon that starts doesn't serve with older settings than other daemons have.
 
-The store may have been restored from an older copy, and the operator may not have
-written again what it lost; the daemons that ran before still know.
+The store may have been restored from an older backup, and the operator may not have repeated the
+changes that were lost; daemons that were running before still have them.
 """
 
 from collections.abc import Set
@@ -12,13 +12,14 @@
 from bayglade.logs import event
 
 CATCH_UP_SECONDS = 2.0
-"""Time after which a daemon that others did not answer serves by what the store has: they may be gone."""
+"""Seconds after which a daemon that got no answer from others serves with the settings in the store,
+because the others may be gone."""
 CONFIRMING_DAEMONS = 2
-"""Daemons that run for longer and have nothing newer, after which no others are waited for."""
+"""Once this many daemons that have caught up have nothing newer, no others are waited for."""
 
 
 class CatchUp:
-    """What a daemon that starts has heard of the settings of others; times are monotonic seconds.
+    """Tracks which settings other daemons have while this one starts; times are monotonic seconds.
 
     :param intake: the settings in force here.
     """
@@ -26,7 +27,7 @@
     def __init__(self, intake: Intake) -> None:
         self.intake = intake
         self.known_since: float | None = None
-        """When settings were known here first."""
+        """When settings first became known here."""
 
         self.heard: dict[MemberId, Revision] = {}
         self.confirming: set[MemberId] = set()
@@ -36,10 +37,10 @@
         return f"<CatchUp heard={sorted(self.heard)}>"
 
     def hear(self, member: MemberId, revision: Revision, caught_up: bool) -> None:
-        """Take in what another daemon says of its settings.
+        """Record the settings that another daemon reports.
 
         :param member: the daemon.
-        :param revision: its settings.
+        :param revision: the revision of its settings.
         :param caught_up: whether it has caught up itself.
         """
         self.heard[member] = revision
@@ -47,9 +48,9 @@
             self.confirming.add(member)
 
     def check(self, others: Set[MemberId] | None) -> bool:
-        """Let this daemon serve once its settings are confirmed, or nobody can be asked.
+        """Let this daemon serve once its settings are confirmed or the wait for others has expired.
 
-        :param others: the daemons it has streams to; nothing while they are not known.
+        :param others: the daemons it has streams to; None while they are not known.
         :return: whether it may serve.
         """
         if self.intake.caught_up or not self.intake.version:
--- a/bayglade/epochs.py
+++ b/bayglade/epochs.py
@@ -1,7 +1,7 @@
-"""Epochs: which history of the platform's store this daemon knows of.
+"""Epochs: which incarnation of the platform's store this daemon knows of.
 
-A store that fails may be restored from a copy some seconds old. What it acknowledged
-since the copy is lost, and versions are given out again; a new epoch begins.
+A store that fails may be restored from a backup that is some seconds old. Writes acknowledged
+since the backup are lost, version numbers are assigned a second time, and a new epoch begins.
 """
 
 from collections.abc import Callable
@@ -29,18 +29,18 @@
     def __init__(self) -> None:
         self.epoch = UNKNOWN_EPOCH
         self.restored_at: float | None = None
-        """When the store was found to have been restored, if it was since this daemon started."""
+        """When the store was found to have been restored; None if it was not since this daemon started."""
 
         self.on_restored: list[Callable[[], None]] = []
-        """Told, each in a task of its own, when the store was restored."""
+        """Called when the store was restored, each in a task of its own."""
 
     def __repr__(self) -> str:
         return f"<StoreHistory epoch={self.epoch}>"
 
     def note(self, epoch: StoreEpoch) -> None:
-        """Take in the epoch that an answer or another daemon names.
+        """Record the epoch that an answer or another daemon names.
 
-        :param epoch: the epoch; one that is not newer changes nothing.
+        :param epoch: the epoch; ignored unless it is newer.
         """
         if epoch <= self.epoch:
             return
@@ -55,12 +55,13 @@
 
 
 class GuardedTable:
-    """Tables of the store, written on conditions that hold in the epoch in which they were read.
+    """A store whose writes are rejected when their conditions were read in an earlier epoch.
 
-    A version that was given out again may stand for another row than the one that was read.
+    A version that was assigned again after a restore may belong to another write than the one that was
+    read.
 
     :param table: the store.
-    :param history: the newest epoch of the store.
+    :param history: the newest known epoch of the store.
     """
 
     def __init__(self, table: Table, history: StoreHistory) -> None:
@@ -71,7 +72,7 @@
         return f"<GuardedTable {self.table!r}>"
 
     def snapshot(self, table: str) -> Changes:
-        """Read all rows of a table; see :class:`bayglade.rows.ChangeFeed`."""
+        """Read a snapshot of a table; see :class:`bayglade.rows.ChangeFeed`."""
         return self.table.snapshot(table)
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
@@ -85,7 +86,7 @@
     def transact(self, transaction: Transaction) -> TransactionResult:
         """Write rows; see :class:`bayglade.rows.RowStore`.
 
-        :raises PlatformAnswerLost: also when the store was restored while the write was under way.
+        :raises PlatformAnswerLost: also when the store was restored while the write was in progress.
         """
         read_in = [c.epoch for c in transaction.conditions if c.version != ABSENT]
         epochs = {epoch for epoch in read_in if epoch != UNKNOWN_EPOCH}
@@ -95,5 +96,7 @@
             return TransactionResult(False, keys, self.history.epoch)
         result = self.table.transact(transaction)
         if epochs and result.epoch != UNKNOWN_EPOCH and epochs != {result.epoch}:
-            raise PlatformAnswerLost("the store was restored meanwhile", step="transact", peer="store")
+            raise PlatformAnswerLost(
+                "the store was restored while the write was in progress", step="transact", peer="store"
+            )
         return result
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -28,7 +28,7 @@
 
 INITIAL_RETRY_DELAY = 0.05
 MAX_RETRY_DELAY = 0.4
-"""Seconds between failing calls: short against the bounds on updates, long for an overloaded store."""
+"""Seconds between failing calls: short against the bounds on updates, long for a degraded store."""
 
 SECONDARY_RETRY_DELAY = 4.0
 MAX_SECONDARY_RETRY_DELAY = 10.0
@@ -274,7 +274,7 @@
         """Set whether to rely on updates that other daemons relay, within the limit set by the table's
         bound.
 
-        :param told: whether others relay the table; if not, the feed follows the store.
+        :param relayed: whether others relay the table; if not, the feed follows the store.
         """
         seconds = rest_after(self.wait) if relayed else 0.0
         if seconds == self.relay_valid_seconds:
--- a/bayglade/freshness.py
+++ b/bayglade/freshness.py
@@ -1,47 +1,49 @@
-"""Freshness: how old what is known of a table may get, and the times that follow from that.
+"""Freshness: how old the copy of a table may get, and the timeouts that follow from that.
 
-A rule gives a bound: a change must be known everywhere so many seconds after the
-platform took it in. The times below are all worked out from that bound, so that
-their sum stays within it whichever single thing fails:
+A bound says within how many seconds after the platform accepted a change it must be known
+everywhere. The times below are all derived from that bound so that their sum stays within it when
+any single thing fails:
 
-- an own connection falls silent: the wait of its call, the time for an answer, a
-  pause, and a call on a new connection;
-- whoever tells of the table falls silent: the time for which its word is enough,
+- an own connection goes silent: the wait of its call, the time for an answer, a retry delay, and a
+  call on a new connection;
+- the daemon that relays the table goes silent: the time for which relayed updates count as fresh,
   and an own call.
 
-One table says nothing of another: each has times of its own.
+Each table has timeouts of its own: that one is fresh says nothing about another.
 """
 
 WAIT_PART = 0.4
-"""Part of the bound for which a call waits for changes."""
+"""Fraction of the bound for which a call waits for changes."""
 
 ANSWER_PART = 0.45
-"""Part of the bound in which an answer must come, beside that wait."""
+"""Fraction of the bound within which an answer must arrive, in addition to that wait."""
 
 LONGEST_ANSWER_SECONDS = 1.0
-"""No answer is waited for longer, however long the bound: a store in trouble may take some tenths."""
+"""Upper limit of that time, however long the bound: a degraded store may take some tenths of a
+second."""
 
 REST_PART = 0.7
-"""Part of the bound for which what others told is enough; then the store is asked."""
+"""Fraction of the bound for which relayed updates count as fresh; after that the store is called."""
 
 GATHER_PART = 0.25
 LONGEST_GATHER_SECONDS = 0.5
-"""Part of the bound, and the longest time, in which changes gather after one: each call is paid for."""
+"""Fraction of the bound, and upper limit, of the sleep after a change. More changes gather in it for one
+call, because each call costs money."""
 
 LEAST_BOUND_SECONDS = 0.7
-"""A shorter bound leaves no time for a pause and a second call beside the parts above; it is taken for
-this one."""
+"""Lower limit of the bound; a shorter one is raised to it, because it would leave no time for a retry delay
+and a second call beside the fractions above."""
 
 KEY_TRUST_PART = 0.9
-"""Part of the trust in old keys within which a change of the document must be known: a call that fails
-then leaves time for another before keys are no longer trusted."""
+"""Fraction of the validity of cached keys within which a change of the document must be known. This leaves
+time for another call after a failed one before keys are no longer trusted."""
 
 
 def document_bound(config_seconds: float, key_trust_seconds: float) -> float:
     """Return within how many seconds a change of the operator's document must be known.
 
-    :param config_seconds: time in which a change must be in force.
-    :param key_trust_seconds: how old the knowledge of keys may be.
+    :param config_seconds: seconds within which a change must be in force.
+    :param key_trust_seconds: how old the copy of the keys may be.
     """
     return min(config_seconds, KEY_TRUST_PART * key_trust_seconds)
 
@@ -55,7 +57,7 @@
 
 
 def answer_within(bound: float) -> float:
-    """Return how long an answer is waited for beside the wait for changes, in seconds.
+    """Return how long to wait for an answer beyond the wait for changes, in seconds.
 
     :param bound: seconds within which a change must be known; the shortest of all tables.
     """
@@ -63,7 +65,7 @@
 
 
 def gather_within(bound: float) -> float:
-    """Return for how long changes gather before the next call, in seconds.
+    """Return how long to let changes gather before the next call, in seconds.
 
     :param bound: seconds within which a change must be known.
     """
@@ -71,7 +73,7 @@
 
 
 def rest_after(wait: float) -> float:
-    """Return for how long the word of others is enough, in seconds since it was surely the newest.
+    """Return for how many seconds after they were current relayed updates make a call unnecessary.
 
     :param wait: how long calls for the table wait, in seconds.
     """
--- a/bayglade/lost_rows.py
+++ b/bayglade/lost_rows.py
@@ -1,4 +1,4 @@
-"""Lost rows: the roster that a restored store has, and what daemons know that it has lost."""
+"""Lost rows: merging the roster of a restored store with the newer one that daemons remember."""
 
 import random
 from collections.abc import Container, Mapping
@@ -9,19 +9,21 @@
 from bayglade.roster import MemberRow, Roster, read_roster
 
 WRITES_PER_SECOND = 100.0
-"""Rows that all daemons together write again: servers and operators write at the same moment."""
+"""Rate at which all daemons together rewrite lost rows, in rows a second: servers and operators write to
+the store at the same time."""
 KEEP_SECONDS = 10.0
-"""How long a daemon whose row was lost counts as there: it writes its row again in this time."""
+"""Seconds for which a daemon whose row was lost still counts as a member; it rewrites its row in this
+time."""
 
 
 def recover(before: Roster, stored: Roster, lost: Container[MemberId]) -> Roster:
-    """Return the roster with what was known before the store was restored.
+    """Return the restored roster together with what was known before the restore.
 
-    Daemons whose rows it has lost stay; those that were taken out since the copy stay out.
+    Daemons whose rows were lost stay members; those that were marked gone since the backup stay so.
 
-    :param before: what was known.
-    :param stored: what the restored store has.
-    :param lost: daemons that fell silent, as far as known here.
+    :param before: the roster known before the restore.
+    :param stored: the roster in the restored store.
+    :param lost: daemons that have gone silent, as far as known here.
     """
     taken_out = before.marked & stored.members.keys()
     members = {name: row for name, row in stored.members.items() if name not in taken_out}
@@ -33,15 +35,15 @@
 def stored_members(rows: Mapping[str, tuple[object, msgspec.Raw | None]]) -> dict[MemberId, MemberRow]:
     """Return the daemons whose rows are in the store.
 
-    :param rows: rows by key, with the position that each came with.
+    :param rows: rows by key, each with the position it came with.
     """
     return read_roster({key: value for key, (_, value) in rows.items()}, Roster()).members
 
 
 def write_delay(lost: int, rng: random.Random) -> float:
-    """Return after how many seconds a daemon writes its row again.
+    """Return the random delay before a daemon rewrites its row, in seconds.
 
-    :param lost: how many daemons have to.
-    :param rng: source of chance.
+    :param lost: how many daemons rewrite theirs.
+    :param rng: random number generator.
     """
     return rng.uniform(0.0, lost / WRITES_PER_SECOND)
--- a/bayglade/rows.py
+++ b/bayglade/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's table: what they are, and what is asked of whoever keeps them."""
+"""Rows of the platform's table: their types, and the interface of a store that keeps them."""
 
 from typing import Protocol
 
@@ -11,17 +11,17 @@
 
 
 class Position(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A point in the history of a store; versions alone cannot be compared across epochs."""
+    """A point in the history of a store; versions are comparable only within one epoch."""
 
     epoch: StoreEpoch
     version: int
 
 
 def was_restored(before: Position | None, after: Position) -> bool:
-    """Tell whether a store came back from an older copy between two positions.
+    """Return whether a store was restored from an older backup between two positions.
 
-    :param before: up to where a table was known; nothing when it was not.
-    :param after: up to where it was read whole since.
+    :param before: the position up to which a table was known; None when it was not.
+    :param after: the position of a later snapshot.
     """
     if before is None or before.epoch == UNKNOWN_EPOCH < after.epoch:
         return False
@@ -37,11 +37,11 @@
 
     @property
     def position(self) -> Position:
-        """Return the point in the store's history at which it was written."""
+        """Return the point in the store's history at which the row was written."""
         return Position(self.epoch, self.version)
 
     def condition(self, key: str) -> "Condition":
-        """Return the condition that the row is still as it was read.
+        """Return the condition that the row has not changed since it was read.
 
         :param key: its key.
         """
@@ -49,12 +49,13 @@
 
 
 class Condition(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Holds when the row has just this version."""
+    """Requires that a row has exactly this version."""
 
     key: str
     version: int
     epoch: StoreEpoch = UNKNOWN_EPOCH
-    """The epoch of the store in which that version was read: it may stand for another row since."""
+    """The epoch of the store in which the version was read; after a restore it may belong to another
+    write."""
 
 
 class Write(msgspec.Struct, frozen=True):
@@ -65,16 +66,16 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that take effect together, when all conditions hold."""
+    """Writes that are applied atomically if all conditions hold."""
 
     conditions: list[Condition]
     writes: list[Write]
     removes: list[str] = []
-    """Keys of rows that are removed; each has a condition, which names its version."""
+    """Keys of rows to remove; each needs a condition that names its version."""
 
 
 class TransactionResult(msgspec.Struct, frozen=True):
-    """Whether a transaction took effect, and the rows that stood against it."""
+    """Whether a transaction was committed, and the keys of the rows that conflicted."""
 
     committed: bool
     conflicts: list[str] = []
@@ -83,7 +84,7 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """Rows of one table as of a version; a key without a value is a row that was removed."""
+    """Rows of one table as of a version; a key whose value is None is a removed row."""
 
     rows: dict[str, msgspec.Raw | None]
     version: int
@@ -91,29 +92,29 @@
 
     @property
     def position(self) -> Position:
-        """Return the point in the store's history that they bring a table to."""
+        """Return the point in the store's history that a table reaches with these changes."""
         return Position(self.epoch, self.version)
 
 
 class RowStore(Protocol):
-    """Whoever keeps the table's rows."""
+    """Reads and writes rows."""
 
     def read(self, keys: list[str]) -> dict[str, Row]:
-        """Read the rows that exist among those asked for.
+        """Read those of the given rows that exist.
 
         :raises PlatformUnavailable: when the table does not answer.
         """
 
     def transact(self, transaction: Transaction) -> TransactionResult:
-        """Write rows together, when all conditions hold.
+        """Write rows atomically if all conditions hold.
 
         :raises PlatformUnavailable: when nothing was written.
-        :raises PlatformAnswerLost: when it may have taken effect.
+        :raises PlatformAnswerLost: when the transaction may have been committed.
         """
 
 
 class ChangeFeed(Protocol):
-    """Whoever tells of changes to the rows of a table."""
+    """Reports changes to the rows of a table."""
 
     def snapshot(self, table: str) -> Changes:
         """Read all rows of a table.
@@ -124,16 +125,16 @@
     def changes(self, table: str, after: Position, wait: float) -> Changes:
         """Wait for rows that changed after a position.
 
-        :param wait: seconds after which an empty answer comes.
+        :param wait: seconds after which an empty answer is returned.
         :raises HistoryGone: when that position is too old, or not in the store's history.
         :raises PlatformUnavailable: when the table does not answer.
         """
 
 
 class Table(RowStore, ChangeFeed, Protocol):
-    """Whoever keeps rows and tells of their changes."""
+    """A store that keeps rows and reports their changes."""
 
 
 def raw(value: object) -> msgspec.Raw:
-    """Encode a value as it lies in a row."""
+    """Encode a value as it is stored in a row."""
     return msgspec.Raw(msgspec.json.encode(value))
--- a/bayglade/tombstones.py
+++ b/bayglade/tombstones.py
@@ -1,8 +1,8 @@
-"""Tombstones: what is kept of servers that are no longer listed.
+"""Tombstones: the state kept of servers that are no longer listed.
 
-A row may be gone for a moment and come back, and an older one may come back: what the server
-itself said in its answers goes on to hold, for the start of it that said so. The row of a
-server that is gone may also come back with an older copy of the whole list.
+The row of a server may disappear briefly and return, or an older row may return. What a server
+announced in its own answers stays valid for that incarnation of it. The row of a server that is
+gone may also return with an older version of the whole list.
 """
 
 import msgspec
@@ -11,11 +11,11 @@
 from bayglade.servers import RateLimit, Server, Throttle
 
 MAX_TOMBSTONES = 1000
-"""Several times as many as there are servers that say anything at a time in a large fleet."""
+"""Several times the number of servers that announce anything at one time in a large fleet."""
 
 
 class Tombstone(msgspec.Struct, frozen=True):
-    """What one start of a server said."""
+    """What one incarnation of a server announced about itself."""
 
     leaving: bool
     rest_until: float
@@ -26,7 +26,7 @@
 
 
 class Tombstones:
-    """What is kept, by start of a server."""
+    """Tombstones by server incarnation."""
 
     def __init__(self) -> None:
         self.known: dict[ServerKey, Tombstone] = {}
@@ -35,7 +35,7 @@
         return f"<Tombstones of {len(self.known)} servers>"
 
     def add(self, server: Server, at: float) -> None:
-        """Keep what a server that is no longer listed said."""
+        """Remember what a server that is no longer listed announced."""
         rest_until = server.rest_until if server.resting(at) else 0.0
         self.known[server.facts.key] = Tombstone(
             server.leaving, rest_until, server.rate_limit, server.throttle
@@ -44,9 +44,9 @@
             del self.known[next(iter(self.known))]
 
     def restore(self, server: Server) -> bool:
-        """Give a server that is listed again what its present start said.
+        """Restore what a server that is listed again announced in its current incarnation.
 
-        :return: whether this start was listed before.
+        :return: whether this incarnation was listed before.
         """
         stone = self.known.pop(server.facts.key, None)
         if stone is None:
