--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -21,7 +21,7 @@
 from bayglade.clock import now
 from bayglade.epochs import StoreHistory
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
-from bayglade.freshness import rest_after
+from bayglade.freshness import relay_validity
 from bayglade.ids import UNKNOWN_EPOCH
 from bayglade.logs import event, limited
 from bayglade.rows import ChangeFeed, Changes, Position, was_restored
@@ -90,7 +90,7 @@
         self.table = table
         self.wait = wait
         self.apply = apply
-        self.pause = pause
+        self.batch_delay = pause
         self.history = history if history is not None else StoreHistory()
         self.history.on_restored.append(self._store_restored)
         self.position: Position | None = None
@@ -229,7 +229,7 @@
         if self.on_answer is not None:
             self.on_answer()
         if taken:
-            eventlet.sleep(self.pause)
+            eventlet.sleep(self.batch_delay)
 
     def receive(
         self,
@@ -276,7 +276,7 @@
 
         :param relayed: whether others relay the table; if not, the feed follows the store.
         """
-        seconds = rest_after(self.wait) if relayed else 0.0
+        seconds = relay_validity(self.wait) if relayed else 0.0
         if seconds == self.relay_valid_seconds:
             return
         self.relay_valid_seconds = seconds
--- a/bayglade/freshness.py
+++ b/bayglade/freshness.py
@@ -12,29 +12,29 @@
 Each table has timeouts of its own: that one is fresh says nothing about another.
 """
 
-WAIT_PART = 0.4
+WAIT_FRACTION = 0.4
 """Fraction of the bound for which a call waits for changes."""
 
-ANSWER_PART = 0.45
+ANSWER_FRACTION = 0.45
 """Fraction of the bound within which an answer must arrive, in addition to that wait."""
 
-LONGEST_ANSWER_SECONDS = 1.0
+MAX_ANSWER_SECONDS = 1.0
 """Upper limit of that time, however long the bound: a degraded store may take some tenths of a
 second."""
 
-REST_PART = 0.7
+RELAY_VALID_FRACTION = 0.7
 """Fraction of the bound for which relayed updates count as fresh; after that the store is called."""
 
-GATHER_PART = 0.25
-LONGEST_GATHER_SECONDS = 0.5
+BATCH_FRACTION = 0.25
+MAX_BATCH_SECONDS = 0.5
 """Fraction of the bound, and upper limit, of the sleep after a change. More changes gather in it for one
 call, because each call costs money."""
 
-LEAST_BOUND_SECONDS = 0.7
+MIN_BOUND_SECONDS = 0.7
 """Lower limit of the bound; a shorter one is raised to it, because it would leave no time for a retry delay
 and a second call beside the fractions above."""
 
-KEY_TRUST_PART = 0.9
+KEY_TRUST_FRACTION = 0.9
 """Fraction of the validity of cached keys within which a change of the document must be known. This leaves
 time for another call after a failed one before keys are no longer trusted."""
 
@@ -45,36 +45,36 @@
     :param config_seconds: seconds within which a change must be in force.
     :param key_trust_seconds: how old the copy of the keys may be.
     """
-    return min(config_seconds, KEY_TRUST_PART * key_trust_seconds)
+    return min(config_seconds, KEY_TRUST_FRACTION * key_trust_seconds)
 
 
-def wait_within(bound: float) -> float:
+def poll_wait(bound: float) -> float:
     """Return how long a call waits for changes, in seconds.
 
     :param bound: seconds within which a change must be known.
     """
-    return WAIT_PART * max(LEAST_BOUND_SECONDS, bound)
+    return WAIT_FRACTION * max(MIN_BOUND_SECONDS, bound)
 
 
-def answer_within(bound: float) -> float:
+def answer_timeout(bound: float) -> float:
     """Return how long to wait for an answer beyond the wait for changes, in seconds.
 
     :param bound: seconds within which a change must be known; the shortest of all tables.
     """
-    return min(LONGEST_ANSWER_SECONDS, ANSWER_PART * max(LEAST_BOUND_SECONDS, bound))
+    return min(MAX_ANSWER_SECONDS, ANSWER_FRACTION * max(MIN_BOUND_SECONDS, bound))
 
 
-def gather_within(bound: float) -> float:
+def batch_delay(bound: float) -> float:
     """Return how long to let changes gather before the next call, in seconds.
 
     :param bound: seconds within which a change must be known.
     """
-    return min(LONGEST_GATHER_SECONDS, GATHER_PART * max(LEAST_BOUND_SECONDS, bound))
+    return min(MAX_BATCH_SECONDS, BATCH_FRACTION * max(MIN_BOUND_SECONDS, bound))
 
 
-def rest_after(wait: float) -> float:
+def relay_validity(wait: float) -> float:
     """Return for how many seconds after they were current relayed updates make a call unnecessary.
 
     :param wait: how long calls for the table wait, in seconds.
     """
-    return wait / WAIT_PART * REST_PART
+    return wait / WAIT_FRACTION * RELAY_VALID_FRACTION
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -22,11 +22,11 @@
 from bayglade.feeds import Feed, link_feeds
 from bayglade.fleet import Fleet
 from bayglade.freshness import (
-    LEAST_BOUND_SECONDS,
-    answer_within,
+    MIN_BOUND_SECONDS,
+    answer_timeout,
+    batch_delay,
     document_bound,
-    gather_within,
-    wait_within,
+    poll_wait,
 )
 from bayglade.heads import Message
 from bayglade.ids import RequestId
@@ -90,7 +90,7 @@
         key_trust, servers_bound = config.key_trust_ms / 1000, config.drain_ms / 1000
         settings_bound = document_bound(config.config_ms / 1000, key_trust)
         self.shortest_bound = min(settings_bound, servers_bound)
-        answer_seconds = answer_within(self.shortest_bound)
+        answer_seconds = answer_timeout(self.shortest_bound)
         self.history = StoreHistory()
         self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
         rows = GuardedTable(self.store, self.history)
@@ -106,7 +106,7 @@
         self.document_feed = Feed(
             self.store,
             platform.OPERATOR_TABLE,
-            wait_within(settings_bound),
+            poll_wait(settings_bound),
             self._take_document,
             DOCUMENT_PAUSE,
             self.history,
@@ -115,9 +115,9 @@
         self.servers_feed = Feed(
             self.store,
             platform.SERVERS_TABLE,
-            wait_within(servers_bound),
+            poll_wait(servers_bound),
             self.listing.take,
-            gather_within(servers_bound),
+            batch_delay(servers_bound),
             self.history,
         )
         self.listing.feed = self.servers_feed
@@ -184,8 +184,8 @@
         """
         logs.set_up(self.config.member, "json", self.config.log_level)
         keep_timers()
-        if self.shortest_bound < LEAST_BOUND_SECONDS:
-            event("WARNING", "bound too short", bound=self.shortest_bound, least=LEAST_BOUND_SECONDS)
+        if self.shortest_bound < MIN_BOUND_SECONDS:
+            event("WARNING", "bound too short", bound=self.shortest_bound, least=MIN_BOUND_SECONDS)
         self._on_signals()
         self._listen(self.config.ready, lambda: LOCAL_LIMITS, self._answer_ready)
         self._listen(self.config.metrics, lambda: LOCAL_LIMITS, self._answer_metrics)
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -25,7 +25,7 @@
 from bayglade.fanout import Fanout
 from bayglade.feeds import Feed
 from bayglade.fingerprints import key_of
-from bayglade.freshness import wait_within
+from bayglade.freshness import poll_wait
 from bayglade.ids import MemberId
 from bayglade.intake import Intake
 from bayglade.lending import POOLED_PART, Pools
@@ -99,7 +99,7 @@
         self.writing = False
         """Whether the own row is about to be written again."""
 
-        self.feed = Feed(store, table, wait_within(ROSTER_BOUND), self._take_roster, ROSTER_PAUSE, history)
+        self.feed = Feed(store, table, poll_wait(ROSTER_BOUND), self._take_roster, ROSTER_PAUSE, history)
         self.membership: Membership | None = None
         self.catch_up = CatchUp(intake)
         intake.caught_up = not config.peer_ports
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -19,7 +19,7 @@
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
 from bayglade.fanout import Fanout
 from bayglade.feeds import Feed, link_feeds
-from bayglade.freshness import answer_within, gather_within, wait_within
+from bayglade.freshness import answer_timeout, batch_delay, poll_wait
 from bayglade.ids import UNKNOWN_EPOCH, HallName, MemberId, StoreEpoch
 from bayglade.readers import LOST_SECONDS, Lost, Order, Plan, make_plan, streams_of
 from bayglade.rows import Changes, Position, raw
@@ -139,9 +139,9 @@
             table: Feed(
                 client,
                 table,
-                wait_within(bound),
+                poll_wait(bound),
                 partial(self.take, table),
-                gather_within(bound),
+                batch_delay(bound),
                 history,
             )
             for table, bound in bounds.items()
@@ -229,7 +229,7 @@
     def __init__(self, daemons: int, halls: int, seed: int, bound: float = BOUND) -> None:
         self.rng = random.Random(seed)
         self.bound = bound
-        self.store = Store(answer_within(bound))
+        self.store = Store(answer_timeout(bound))
         self.mute: set[MemberId] = set()
         """Daemons that say and hear nothing, though they seem to run."""
 
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -12,12 +12,12 @@
 from bayglade.exceptions import PeerError, PlatformUnavailable
 from bayglade.fanout import FOLLOWER_PAUSE, LEAST_TELL_PART, Fanout, pack, unpack
 from bayglade.feeds import Feed, link_feeds
-from bayglade.freshness import rest_after
+from bayglade.freshness import relay_validity
 from bayglade.ids import UNKNOWN_EPOCH, MemberId
 from bayglade.rows import Changes, Position
 
 WAIT = 1.0
-REST = rest_after(WAIT)
+REST = relay_validity(WAIT)
 
 
 def at(version: int) -> Position:
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -21,7 +21,7 @@
 from bayglade import feeds
 from bayglade.exceptions import PlatformUnavailable
 from bayglade.feeds import Feed, link_feeds
-from bayglade.freshness import wait_within
+from bayglade.freshness import poll_wait
 from bayglade.ids import UNKNOWN_EPOCH, MemberId, StoreEpoch
 from bayglade.readers import READERS
 from bayglade.rows import Changes, Position, raw
@@ -308,4 +308,4 @@
     made = run_virtually(calls)
     # Two readers follow three tables; each call for two of these waits 0.8 s.
     assert len({member for member, _ in made}) == READERS
-    assert made.total() <= READERS * (2 * 20.0 / wait_within(BOUND) + 4)
+    assert made.total() <= READERS * (2 * 20.0 / poll_wait(BOUND) + 4)
