--- a/bayglade/catchup.py
+++ b/bayglade/catchup.py
@@ -11,7 +11,7 @@
 from bayglade.intake import Intake
 from bayglade.logs import event
 
-CATCH_UP_SECONDS = 2.0
+CATCH_UP_TIMEOUT = 2.0
 """Seconds after which a daemon that got no answer from others serves with the settings in the store,
 because the others may be gone."""
 CONFIRMING_DAEMONS = 2
@@ -29,21 +29,21 @@
         self.known_since: float | None = None
         """When settings first became known here."""
 
-        self.heard: dict[MemberId, Revision] = {}
+        self.revisions: dict[MemberId, Revision] = {}
         self.confirming: set[MemberId] = set()
         """Daemons that have caught up themselves."""
 
     def __repr__(self) -> str:
-        return f"<CatchUp heard={sorted(self.heard)}>"
+        return f"<CatchUp heard={sorted(self.revisions)}>"
 
-    def hear(self, member: MemberId, revision: Revision, caught_up: bool) -> None:
+    def record(self, member: MemberId, revision: Revision, caught_up: bool) -> None:
         """Record the settings that another daemon reports.
 
         :param member: the daemon.
         :param revision: the revision of its settings.
         :param caught_up: whether it has caught up itself.
         """
-        self.heard[member] = revision
+        self.revisions[member] = revision
         if caught_up:
             self.confirming.add(member)
 
@@ -57,7 +57,7 @@
             return self.intake.caught_up
         if self.known_since is None:
             self.known_since = now()
-        late = now() - self.known_since >= CATCH_UP_SECONDS
+        late = now() - self.known_since >= CATCH_UP_TIMEOUT
         if not late and not self._confirmed(others):
             return False
         self.intake.catch_up()
@@ -65,13 +65,13 @@
             "WARNING" if late else "INFO",
             "settings not confirmed" if late else "settings confirmed",
             version=self.intake.version,
-            by=sorted(self.heard),
+            by=sorted(self.revisions),
             after=round(now() - self.known_since, 2),
         )
         return True
 
     def _confirmed(self, others: Set[MemberId] | None) -> bool:
-        if self.intake.version < max(self.heard.values(), default=0):
+        if self.intake.version < max(self.revisions.values(), default=0):
             return False
         enough = len(self.confirming) >= CONFIRMING_DAEMONS
-        return enough or (others is not None and others <= self.heard.keys())
+        return enough or (others is not None and others <= self.revisions.keys())
--- a/bayglade/claims.py
+++ b/bayglade/claims.py
@@ -308,5 +308,5 @@
 def _transaction(group: list[_Operation]) -> rows.Transaction:
     return rows.Transaction(
         conditions=[rows.Condition(o.claim.key, o.expects) for o in group],
-        writes=[rows.Write(o.claim.key, rows.raw(o.claim.row)) for o in group],
+        writes=[rows.Write(o.claim.key, rows.encode_value(o.claim.row)) for o in group],
     )
--- a/bayglade/epochs.py
+++ b/bayglade/epochs.py
@@ -54,7 +54,7 @@
             eventlet.spawn_n(tell)
 
 
-class GuardedTable:
+class EpochGuardedTable:
     """A store whose writes are rejected when their conditions were read in an earlier epoch.
 
     A version that was assigned again after a restore may belong to another write than the one that was
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -73,7 +73,7 @@
     :param table: the table's name.
     :param wait: seconds a call may wait for a change; bounds the age of the copy.
     :param apply: applies changes.
-    :param pause: seconds to sleep after changes, so that one call returns several of them.
+    :param batch_delay: seconds to sleep after changes, so that one call returns several of them.
     :param history: the newest known epoch of the store, shared between feeds; a new one if left out.
     """
 
@@ -83,14 +83,14 @@
         table: str,
         wait: float,
         apply: Apply,
-        pause: float = 0.0,
+        batch_delay: float = 0.0,
         history: StoreHistory | None = None,
     ) -> None:
         self.store = store
         self.table = table
         self.wait = wait
         self.apply = apply
-        self.batch_delay = pause
+        self.batch_delay = batch_delay
         self.history = history if history is not None else StoreHistory()
         self.history.on_restored.append(self._store_restored)
         self.position: Position | None = None
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -17,7 +17,7 @@
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
 from bayglade.ends import watch_ends
-from bayglade.epochs import GuardedTable, StoreHistory
+from bayglade.epochs import EpochGuardedTable, StoreHistory
 from bayglade.exceptions import BaygladeError, InvalidSettings, Stopping
 from bayglade.feeds import Feed, link_feeds
 from bayglade.fleet import Fleet
@@ -93,7 +93,7 @@
         answer_seconds = answer_timeout(self.shortest_bound)
         self.history = StoreHistory()
         self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
-        rows = GuardedTable(self.store, self.history)
+        rows = EpochGuardedTable(self.store, self.history)
         self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN)
         self.links = Links()
         self.fleet.on_restart.append(self.links.drop)
--- a/bayglade/leases.py
+++ b/bayglade/leases.py
@@ -19,7 +19,7 @@
 from bayglade.exceptions import PlatformAnswerLost
 from bayglade.ids import UNKNOWN_EPOCH, MemberId, StoreEpoch
 from bayglade.logs import event
-from bayglade.rows import ABSENT, Condition, Position, Row, RowStore, Transaction, Write, raw
+from bayglade.rows import ABSENT, Condition, Position, Row, RowStore, Transaction, Write, encode_value
 
 DURATION = 6.0
 MARGIN = 2.0
@@ -171,7 +171,9 @@
 
     def _transact(self, epoch: int, released: bool = False) -> bool:
         row = LeaseRow(self.me, epoch, released, self.history.epoch)
-        won = self.platform.transact(Transaction([self.condition], [Write(self.key, raw(row))])).committed
+        won = self.platform.transact(
+            Transaction([self.condition], [Write(self.key, encode_value(row))])
+        ).committed
         if won:
             self.condition = msgspec.structs.replace(self.condition, version=self.condition.version + 1)
         return won
--- a/bayglade/lost_rows.py
+++ b/bayglade/lost_rows.py
@@ -8,15 +8,15 @@
 from bayglade.ids import MemberId
 from bayglade.roster import MemberRow, Roster, read_roster
 
-WRITES_PER_SECOND = 100.0
+REWRITES_PER_SECOND = 100.0
 """Rate at which all daemons together rewrite lost rows, in rows a second: servers and operators write to
 the store at the same time."""
-KEEP_SECONDS = 10.0
+REWRITE_GRACE_SECONDS = 10.0
 """Seconds for which a daemon whose row was lost still counts as a member; it rewrites its row in this
 time."""
 
 
-def recover(before: Roster, stored: Roster, lost: Container[MemberId]) -> Roster:
+def merge_restored(before: Roster, stored: Roster, lost: Container[MemberId]) -> Roster:
     """Return the restored roster together with what was known before the restore.
 
     Daemons whose rows were lost stay members; those that were marked gone since the backup stay so.
@@ -40,10 +40,10 @@
     return read_roster({key: value for key, (_, value) in rows.items()}, Roster()).members
 
 
-def write_delay(lost: int, rng: random.Random) -> float:
+def rewrite_delay(lost: int, rng: random.Random) -> float:
     """Return the random delay before a daemon rewrites its row, in seconds.
 
     :param lost: how many daemons rewrite theirs.
     :param rng: random number generator.
     """
-    return rng.uniform(0.0, lost / WRITES_PER_SECOND)
+    return rng.uniform(0.0, lost / REWRITES_PER_SECOND)
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -31,7 +31,7 @@
 from bayglade.lending import POOLED_PART, Pools
 from bayglade.listener import listen
 from bayglade.logs import event
-from bayglade.lost_rows import KEEP_SECONDS, recover, stored_members, write_delay
+from bayglade.lost_rows import REWRITE_GRACE_SECONDS, merge_restored, rewrite_delay, stored_members
 from bayglade.quotas import Quotas, choose_keeper
 from bayglade.readers import LOST_SECONDS, Duty, Lost, Order, Plan, make_plan, streams_of
 from bayglade.relay import Peers
@@ -276,7 +276,7 @@
         """
         if not self.writing:
             self.writing = True
-            eventlet.spawn_after(write_delay(lost, self.rng), self._rejoin, reason)
+            eventlet.spawn_after(rewrite_delay(lost, self.rng), self._rejoin, reason)
 
     def _rejoin(self, reason: str) -> None:
         assert self.membership is not None
@@ -364,9 +364,9 @@
         lost = before.members.keys() - self.roster.members.keys()
         if self.config.member in lost:
             self._write_again("the store was restored", len(lost))
-        self.roster = recover(before, self.roster, self.lost.since)
+        self.roster = merge_restored(before, self.roster, self.lost.since)
         event("WARNING", "roster recovered", lost=len(lost), marked=len(self.roster.marked))
-        eventlet.spawn_after(KEEP_SECONDS, self._drop_unwritten)
+        eventlet.spawn_after(REWRITE_GRACE_SECONDS, self._drop_unwritten)
 
     def _drop_unwritten(self) -> None:
         """Drop gateways whose rows a restored store has lost and that have not written them again."""
@@ -388,7 +388,7 @@
         if stored == membership.secret:
             return
         restored_at = self.history.restored_at
-        if stored is None or (restored_at is not None and now() - restored_at < KEEP_SECONDS):
+        if stored is None or (restored_at is not None and now() - restored_at < REWRITE_GRACE_SECONDS):
             if self.reads():
                 self._write_again("the secret was lost")
             return
@@ -436,7 +436,7 @@
 
     def _heard_beat(self, member: MemberId, beat: wire.Heartbeat) -> None:
         self.totals.hear(member, beat)
-        self.catch_up.hear(member, beat.revision, beat.caught_up)
+        self.catch_up.record(member, beat.revision, beat.caught_up)
         self.spreading.heard_of(load.key for load in beat.loads)
 
     def _heard_poll(self, member: MemberId, poll: wire.Poll) -> None:
--- a/bayglade/revisions.py
+++ b/bayglade/revisions.py
@@ -258,8 +258,8 @@
         at=time.time(),
         note=change.note,
         digest=after.digest,
-        patch=rows.raw(patches.diff(old, new)),
-        undo=rows.raw(patches.diff(new, old)),
+        patch=rows.encode_value(patches.diff(old, new)),
+        undo=rows.encode_value(patches.diff(new, old)),
     )
     head = Head(after.revision, after.digest)
     change_key = _change_key(change.id)
@@ -270,9 +270,9 @@
             rows.Condition(change_key, rows.ABSENT),
         ],
         writes=[
-            rows.Write(HEAD_KEY, rows.raw(head)),
-            rows.Write(change_key, rows.raw(after.revision)),
-            rows.Write(_revision_key(after.revision), rows.raw(audit)),
+            rows.Write(HEAD_KEY, rows.encode_value(head)),
+            rows.Write(change_key, rows.encode_value(after.revision)),
+            rows.Write(_revision_key(after.revision), rows.encode_value(audit)),
         ],
     )
 
--- a/bayglade/roster.py
+++ b/bayglade/roster.py
@@ -16,7 +16,7 @@
 from bayglade.exceptions import HistoryGone, InvalidSettings, PlatformUnavailable
 from bayglade.ids import HallName, MemberId
 from bayglade.logs import event
-from bayglade.rows import ABSENT, Condition, RowStore, Table, Transaction, Write, raw
+from bayglade.rows import ABSENT, Condition, RowStore, Table, Transaction, Write, encode_value
 
 MEMBER_PREFIX = "members/"
 SECRET_KEY = MEMBER_PREFIX + "#secret"
@@ -95,7 +95,7 @@
     row = read_roster({key: found.value}, Roster()).members.get(member)
     if row is None:
         return
-    gone = Write(key, raw(msgspec.structs.replace(row, gone=True)))
+    gone = Write(key, encode_value(msgspec.structs.replace(row, gone=True)))
     committed = store.transact(Transaction([found.condition(key)], [gone])).committed
     event("INFO", "daemon taken out of the roster", peer=member, committed=committed)
 
@@ -113,13 +113,13 @@
         key = MEMBER_PREFIX + member
         written = member in known.members or member in known.marked or key in known.strange
         conditions.append(_condition(store, key) if written else Condition(key, ABSENT))
-        writes.append(Write(key, raw(row)))
+        writes.append(Write(key, encode_value(row)))
     if secret is None or secret != known.secret:
         text = secrets.token_hex(SECRET_BYTES) if secret is None else secret.decode()
         secret = text.encode()
         written = SECRET_KEY in known.strange or known.secret is not None
         conditions.append(_condition(store, SECRET_KEY) if written else Condition(SECRET_KEY, ABSENT))
-        writes.append(Write(SECRET_KEY, raw(text)))
+        writes.append(Write(SECRET_KEY, encode_value(text)))
     if writes and not store.transact(Transaction(conditions, writes)).committed:
         return None
     return Roster({**known.members, member: row}, secret)
--- a/bayglade/rows.py
+++ b/bayglade/rows.py
@@ -135,6 +135,6 @@
     """A store that keeps rows and reports their changes."""
 
 
-def raw(value: object) -> msgspec.Raw:
+def encode_value(value: object) -> msgspec.Raw:
     """Encode a value as it is stored in a row."""
     return msgspec.Raw(msgspec.json.encode(value))
--- a/bayglade/stop_commands.py
+++ b/bayglade/stop_commands.py
@@ -53,14 +53,14 @@
         """Remove its row."""
         from bayglade import platform
         from bayglade.config import parse_address
-        from bayglade.epochs import GuardedTable, StoreHistory
+        from bayglade.epochs import EpochGuardedTable, StoreHistory
         from bayglade.stops import remove_stop
 
         content = Fingerprint(self.argument("content"))
         try:
             history = StoreHistory()
             store = platform.Store(parse_address(self.option("store")), on_epoch=history.note)
-            removed = remove_stop(GuardedTable(store, history), content)
+            removed = remove_stop(EpochGuardedTable(store, history), content)
         except BaygladeError as error:
             self.line_error(error.message, style="error")
             return 1
--- a/bayglade/stops.py
+++ b/bayglade/stops.py
@@ -11,7 +11,7 @@
 from bayglade.ids import BackendId, Fingerprint, Incarnation, ServerKey
 from bayglade.logs import event
 from bayglade.roster import STOP_PREFIX
-from bayglade.rows import ABSENT, Condition, RowStore, Transaction, Write, raw
+from bayglade.rows import ABSENT, Condition, RowStore, Transaction, Write, encode_value
 
 
 class StopRow(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
     :raises PlatformUnavailable: when the table does not answer.
     """
     key = STOP_PREFIX + name
-    row = raw(StopRow([(end.backend, end.incarnation) for end in sorted(ends)]))
+    row = encode_value(StopRow([(end.backend, end.incarnation) for end in sorted(ends)]))
     store.transact(Transaction([Condition(key, ABSENT)], [Write(key, row)]))
 
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -22,7 +22,7 @@
 from bayglade.freshness import answer_timeout, batch_delay, poll_wait
 from bayglade.ids import UNKNOWN_EPOCH, HallName, MemberId, StoreEpoch
 from bayglade.readers import LOST_SECONDS, Lost, Order, Plan, make_plan, streams_of
-from bayglade.rows import Changes, Position, raw
+from bayglade.rows import Changes, Position, encode_value
 from tests.virtual_time import now
 
 BOUND = 2.0
@@ -74,7 +74,7 @@
     def value(self, table: str) -> msgspec.Raw:
         """Return the row of a table: another one for each write, though versions are given out again."""
         version = self.versions[table]
-        return raw([self.written_in.get((table, version), 0), version])
+        return encode_value([self.written_in.get((table, version), 0), version])
 
     def restore(self, lost: int) -> None:
         """Come back as it was some writes ago; calls under way are never answered."""
--- a/tests/test_catchup.py
+++ b/tests/test_catchup.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bayglade import catchup
-from bayglade.catchup import CATCH_UP_SECONDS, CatchUp
+from bayglade.catchup import CATCH_UP_TIMEOUT, CatchUp
 from bayglade.exceptions import CutOff
 from bayglade.ids import MemberId, Revision
 from bayglade.intake import Intake
@@ -50,16 +50,16 @@
 
 def test_two_daemons_that_have_caught_up_are_enough(intake: Intake) -> None:
     catch_up = CatchUp(intake)
-    catch_up.hear(A, Revision(7), True)
+    catch_up.record(A, Revision(7), True)
     assert not catch_up.check({A, B, C})
-    catch_up.hear(B, Revision(6), True)
+    catch_up.record(B, Revision(6), True)
     assert catch_up.check({A, B, C})
 
 
 def test_newer_settings_are_waited_for(intake: Intake) -> None:
     catch_up = CatchUp(intake)
     for member in (A, B, C):
-        catch_up.hear(member, Revision(9 if member == C else 7), True)
+        catch_up.record(member, Revision(9 if member == C else 7), True)
     assert not catch_up.check({A, B, C})
     intake.take(9, Tree(), b"9")
     assert catch_up.check({A, B, C})
@@ -67,9 +67,9 @@
 
 def test_daemons_that_all_start_together_confirm_each_other(intake: Intake) -> None:
     catch_up = CatchUp(intake)
-    catch_up.hear(A, Revision(7), False)
+    catch_up.record(A, Revision(7), False)
     assert not catch_up.check({A, B})
-    catch_up.hear(B, Revision(0), False)
+    catch_up.record(B, Revision(0), False)
     assert catch_up.check({A, B})
 
 
@@ -84,5 +84,5 @@
 ) -> None:
     catch_up = CatchUp(intake)
     assert not catch_up.check(others)
-    clock.at += CATCH_UP_SECONDS
+    clock.at += CATCH_UP_TIMEOUT
     assert catch_up.check(others)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -16,7 +16,7 @@
 from bayglade.leases import Lease
 from bayglade.platform import decode_document, decode_report, decode_server
 from bayglade.roster import MEMBER_PREFIX, SECRET_KEY, MemberRow, Roster, join, read_roster
-from bayglade.rows import Changes, Condition, Row, Transaction, TransactionResult, raw
+from bayglade.rows import Changes, Condition, Row, Transaction, TransactionResult, encode_value
 from standins.users import configuration
 from tests.server_rows import facts_of, packed, server_row, without
 
@@ -206,7 +206,7 @@
         if any(self._version(c) != c.version for c in transaction.conditions):
             return TransactionResult(False)
         for write in transaction.writes:
-            version = self.rows.get(write.key, (0, raw("")))[0] + 1
+            version = self.rows.get(write.key, (0, encode_value("")))[0] + 1
             self.rows[write.key] = (version, write.value)
         return TransactionResult(True)
 
@@ -217,7 +217,7 @@
         raise AssertionError("nobody follows this table")
 
     def _version(self, condition: Condition) -> int:
-        return self.rows.get(condition.key, (0, raw("")))[0]
+        return self.rows.get(condition.key, (0, encode_value("")))[0]
 
 
 def test_a_lease_of_another_writer_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -24,7 +24,7 @@
 from bayglade.freshness import poll_wait
 from bayglade.ids import UNKNOWN_EPOCH, MemberId, StoreEpoch
 from bayglade.readers import READERS
-from bayglade.rows import Changes, Position, raw
+from bayglade.rows import Changes, Position, encode_value
 from tests import fleets
 from tests.fleets import SILENCE, Fleet
 from tests.virtual_time import START, now, run_virtually
@@ -68,7 +68,7 @@
             raise PlatformUnavailable("no answer", step="read", peer="store")
         eventlet.sleep(ROUND_TRIP)
         version = self.versions[table]
-        rows = {"row": raw(version)} if version > after.version else {}
+        rows = {"row": encode_value(version)} if version > after.version else {}
         return Changes(rows, version)
 
 
--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bayglade.ids import HallName, MemberId
-from bayglade.lost_rows import WRITES_PER_SECOND, recover, write_delay
+from bayglade.lost_rows import REWRITES_PER_SECOND, merge_restored, rewrite_delay
 from bayglade.roster import MEMBER_PREFIX, SECRET_KEY, MemberRow, Roster, join
 from standins.users import Daemon, UsersSite
 from standins.world import wait_for
@@ -21,32 +21,32 @@
 
 def test_a_daemon_whose_row_is_lost_stays() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
-    assert recover(before, Roster({A: ROW}, b"s"), {}).members == {A: ROW, B: ROW}
+    assert merge_restored(before, Roster({A: ROW}, b"s"), {}).members == {A: ROW, B: ROW}
 
 
 def test_a_daemon_whose_row_is_lost_and_that_is_silent_goes() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
-    assert recover(before, Roster({A: ROW}, b"s"), {B}).members == {A: ROW}
+    assert merge_restored(before, Roster({A: ROW}, b"s"), {B}).members == {A: ROW}
 
 
 def test_a_daemon_that_was_taken_out_since_the_copy_stays_out() -> None:
     before = Roster({A: ROW}, b"s", marked=frozenset({B}))
-    after = recover(before, Roster({A: ROW, B: ROW}, b"s"), {})
+    after = merge_restored(before, Roster({A: ROW, B: ROW}, b"s"), {})
     assert after.members == {A: ROW}
     assert after.marked == {B}
 
 
 def test_a_daemon_that_the_copy_says_is_gone_stays_so() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
-    assert recover(before, Roster({A: ROW}, b"s", marked=frozenset({B})), {}).members == {A: ROW}
+    assert merge_restored(before, Roster({A: ROW}, b"s", marked=frozenset({B})), {}).members == {A: ROW}
 
 
 def test_rows_are_written_again_at_a_bounded_rate() -> None:
     rng = random.Random(1)
-    delays = sorted(write_delay(440, rng) for _ in range(440))
+    delays = sorted(rewrite_delay(440, rng) for _ in range(440))
     most = max(sum(at <= delay < at + 1.0 for delay in delays) for at in delays)
-    assert most <= 1.3 * WRITES_PER_SECOND
-    assert write_delay(0, rng) == 0.0
+    assert most <= 1.3 * REWRITES_PER_SECOND
+    assert rewrite_delay(0, rng) == 0.0
 
 
 def test_the_secret_that_streams_have_is_written_again_and_no_new_one() -> None:
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -4,7 +4,7 @@
 import pytest
 
 from bayglade import epochs, leases
-from bayglade.epochs import GuardedTable, StoreHistory
+from bayglade.epochs import EpochGuardedTable, StoreHistory
 from bayglade.exceptions import PlatformAnswerLost
 from bayglade.ids import MemberId, StoreEpoch
 from bayglade.leases import LOST_EPOCHS, Lease, LeaseState
@@ -17,7 +17,7 @@
     Transaction,
     TransactionResult,
     Write,
-    raw,
+    encode_value,
 )
 from tests.clocks import ManualClock
 
@@ -37,7 +37,7 @@
 
     def put(self, key: str, value: object) -> None:
         self.version += 1
-        self.rows[key] = (self.version, bytes(raw(value)))
+        self.rows[key] = (self.version, bytes(encode_value(value)))
 
     def keep_copy(self) -> None:
         self.copy = (self.version, dict(self.rows))
@@ -76,7 +76,7 @@
         self.rows = rows
         self.history = StoreHistory()
         self.history.note(rows.epoch)
-        self.table = GuardedTable(rows, self.history)
+        self.table = EpochGuardedTable(rows, self.history)
         self.lease = Lease(self.table, "placement", MemberId(name), DURATION, MARGIN, self.history)
 
     def keep(self) -> bool:
@@ -105,9 +105,9 @@
     rows.restore()
     rows.put(KEY, "another")
     daemon.history.note(rows.epoch)
-    wrong = Transaction([found.condition(KEY)], [Write(KEY, raw("mine"))])
+    wrong = Transaction([found.condition(KEY)], [Write(KEY, encode_value("mine"))])
     assert not daemon.table.transact(wrong).committed
-    assert daemon.table.read([KEY])[KEY].value == raw("another")
+    assert daemon.table.read([KEY])[KEY].value == encode_value("another")
 
 
 def test_the_answer_to_a_write_under_way_while_the_store_is_restored_is_lost(rows: Rows) -> None:
@@ -117,7 +117,7 @@
     found = daemon.table.read([KEY])[KEY]
     rows.restores_in_a_write = True
     with pytest.raises(PlatformAnswerLost):
-        daemon.table.transact(Transaction([found.condition(KEY)], [Write(KEY, raw("mine"))]))
+        daemon.table.transact(Transaction([found.condition(KEY)], [Write(KEY, encode_value("mine"))]))
 
 
 def test_a_condition_read_after_the_store_was_restored_holds(rows: Rows) -> None:
@@ -127,13 +127,17 @@
     rows.restore()
     daemon.history.note(rows.epoch)
     found = daemon.table.read([KEY])[KEY]
-    assert daemon.table.transact(Transaction([found.condition(KEY)], [Write(KEY, raw("mine"))])).committed
+    assert daemon.table.transact(
+        Transaction([found.condition(KEY)], [Write(KEY, encode_value("mine"))])
+    ).committed
 
 
 def test_a_row_that_does_not_exist_may_be_written_in_any_epoch(rows: Rows) -> None:
     daemon = Daemon(rows, "d1")
     rows.restores_in_a_write = True
-    assert daemon.table.transact(Transaction([Condition(KEY, ABSENT)], [Write(KEY, raw(1))])).committed
+    assert daemon.table.transact(
+        Transaction([Condition(KEY, ABSENT)], [Write(KEY, encode_value(1))])
+    ).committed
 
 
 @pytest.mark.parametrize("copied", ["no row", "another holder", "released"])
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -14,10 +14,10 @@
 from bayglade.feeds import Feed
 from bayglade.ids import UNKNOWN_EPOCH, MemberId, StoreEpoch
 from bayglade.platform import Store
-from bayglade.rows import Changes, Condition, Position, Transaction, Write, raw
+from bayglade.rows import Changes, Condition, Position, Transaction, Write, encode_value
 from standins.users.store import MetadataStore
 
-ROW = {"key": raw(1)}
+ROW = {"key": encode_value(1)}
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
     stored.epoch = 2
     client.changes("op", Position(UNKNOWN_EPOCH, 0), 0.0)
     stored.epoch = 3
-    conflict = Transaction([Condition("members/a", 7)], [Write("members/a", raw(1))])
+    conflict = Transaction([Condition("members/a", 7)], [Write("members/a", encode_value(1))])
     assert not client.transact(conflict).committed
     stored.epoch = 4
     stored.faults.set("busy", 1)
