--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -1,14 +1,13 @@
-"""Fan-out: what daemons tell each other of the platform's tables.
+"""Fan-out: how daemons relay the platform's tables to each other.
 
-A few daemons follow the store; the others ask these, or ask daemons that ask
-these (see :mod:`bayglade.readers`), and get what changed, when it changed. Each
-asks two, so that one that is lost or cut off from the store delays nobody. A
-daemon that hears too little reads the store itself.
+A few daemons follow the store. The others long-poll these, or poll daemons that do (see
+:mod:`bayglade.readers`), and receive changes as they happen. Each polls two daemons, so losing one,
+or its access to the store, delays nobody. A daemon that receives too little reads the store itself.
 
-How old an update is, is never taken from another daemon's clock: whoever answers
-tells how long the question lay there and how old its knowledge was when it
-answered, and the asker counts from when it asked. Over two steps the ages add up.
-Each table has an age of its own: that one is fresh says nothing of another.
+The age of an update never depends on another daemon's clock: the daemon that answers reports how
+long the poll was pending and how old its own copy was when it answered, and the daemon that polled
+counts from when it sent the poll. Over two hops the ages add up. Each table has an age of its own:
+that one is fresh says nothing about another.
 """
 
 import zlib
@@ -26,28 +25,28 @@
 
 FOLLOWER_FIRST_PAUSE = 0.8
 FOLLOWER_PAUSE = 5.0
-"""First and longest time between the calls of a daemon that asks others to a store that fails: each
-is paid for, and its readers, who call more often, tell when the store is back."""
+"""First and longest delay between calls to a failing store, for a daemon that polls others. Each call costs
+money, and the readers, which call more often, report when the store has recovered."""
 ASK_AGAIN_SECONDS = 1.0
-"""A question is repeated after this time: the stream it went on may have broken."""
+"""A poll without an answer is repeated after this time: the stream that carried it may have broken."""
 LEAST_ASK_SECONDS = 0.1
-"""Least time between two questions to one reader: a daemon that cannot take in what it is told
-would be told again at once."""
+"""Minimum time between two polls of one reader: a daemon that rejects an update would otherwise be sent it
+again at once."""
 LEAST_TELL_PART = 0.3
-"""Part of the wait of a table's calls by which it must be surely newer to be told for that alone. A
-daemon that asks two readers hears of each table twice in a wait, and would pass on all of it."""
+"""Fraction of a table's wait by which a table must have become fresher to be relayed for that alone. A
+daemon that polls two readers hears about each table twice in a wait, and would relay all of it."""
 GATHER_SECONDS = 0.03
-"""Time in which answers that bring nothing new gather before others are told how fresh the tables are:
-those for several tables come within milliseconds."""
+"""Seconds for which answers without changes are collected before others are told how fresh the tables are:
+those for several tables arrive within milliseconds of each other."""
 PACK_LEVEL = 1
-"""Level of compression: a document of 2,000 routes takes some milliseconds."""
+"""Compression level of zlib; a document of 2,000 routes takes some milliseconds."""
 
 Push = Callable[[MemberId, Message], None]
 """Sends a message to another daemon."""
 
 
 class Asked:
-    """A question of this daemon that is under way; the time is monotonic."""
+    """A poll that this daemon has sent and that is unanswered; the time is monotonic."""
 
     __slots__ = ("at", "number")
 
@@ -60,7 +59,7 @@
 
 
 class Waiting:
-    """A question of another daemon that waits here for updates; the time is monotonic."""
+    """A poll of another daemon that is pending here until there are updates; the time is monotonic."""
 
     __slots__ = ("poll", "since")
 
@@ -73,13 +72,13 @@
 
 
 class Fanout:
-    """Updates of tables, as one daemon polls for them and passes them on.
+    """Polls other daemons for updates of tables and relays updates to those that poll this one.
 
     :param feeds: the tables, by name.
-    :param proof: the feed whose answers show that a reader reaches the store; of all feeds it
-        looks most often whether a lost store is back.
+    :param proof: the feed whose answers show that this daemon reaches the store; of all feeds it retries a
+        failing store most often.
     :param push: sends a message to another daemon.
-    :param address: where this daemon takes streams of others.
+    :param address: where this daemon accepts streams of others.
     """
 
     def __init__(self, feeds: Mapping[str, Feed], proof: Feed, push: Push, address: str) -> None:
@@ -88,22 +87,22 @@
         self.push = push
         self.address = address
         self.asks: tuple[MemberId, ...] = ()
-        """The readers that this daemon asks; none when it follows the store."""
+        """The daemons that this one polls; none when it follows the store."""
 
         self.numbers = 0
         self.asked: dict[MemberId, Asked] = {}
         self.waiting: dict[MemberId, Waiting] = {}
         self.told: dict[MemberId, dict[str, float]] = {}
-        """What each asker was told last: a time up to which each table was known, monotonic."""
+        """By daemon that polled: for each table, the ``known_at`` of the last update sent to it."""
 
         self.unable: set[MemberId] = set()
-        """Daemons that were asked and get no answer of the store themselves."""
+        """Daemons polled by this one that get no answer from the store themselves."""
 
         self.telling = False
-        """Whether others are about to be told."""
+        """Whether a delayed relay is scheduled."""
 
         self.packed: dict[tuple[str, Position | None], TableUpdate] = {}
-        """What was packed last, by table and the position asked from."""
+        """The encoded updates sent last, by table and the position they follow."""
 
         for feed in feeds.values():
             feed.on_answer = self._tell_soon
@@ -113,7 +112,7 @@
         return f"<Fanout asks={self.asks} {len(self.waiting)} waiting>"
 
     def assign(self, asks: tuple[MemberId, ...]) -> None:
-        """Take in whom to ask.
+        """Set the daemons to poll.
 
         :param asks: the daemons; none when this one follows the store.
         """
@@ -124,7 +123,7 @@
             feed.max_retry_delay = FOLLOWER_PAUSE if asks else MAX_RETRY_DELAY
 
     def watch(self) -> None:
-        """Ask readers that were not asked, or did not answer for long; called often."""
+        """Poll sources that were not polled yet or have not answered for long; called often."""
         at = now()
         for reader in self.asks:
             asked = self.asked.get(reader)
@@ -132,13 +131,13 @@
                 self._ask(reader)
 
     def tell(self) -> None:
-        """Answer the questions that wait here, as far as there is something to tell."""
+        """Answer pending polls for which there is news."""
         for member in list(self.waiting):
             if self._news(member):
                 self._answer(member)
 
     def _tell_soon(self) -> None:
-        """Tell at once what changed, and a moment later what is only fresher."""
+        """Relay changes at once, and after a short delay tables that are merely fresher."""
         for member in list(self.waiting):
             if self._changed(member):
                 self._answer(member)
@@ -151,15 +150,15 @@
         self.tell()
 
     def refuse(self) -> None:
-        """Tell all who wait here that the store does not answer."""
+        """Tell all daemons with a pending poll that the store does not answer."""
         for member, waiting in self.waiting.items():
             self.push(member, Unable(waiting.poll.number))
 
     def heard_poll(self, member: MemberId, poll: Poll) -> None:
-        """Take in a question; it waits until there is something to tell.
+        """Register a poll; it is answered once there is news.
 
-        :param member: who asks.
-        :param poll: the question.
+        :param member: the daemon that polls.
+        :param poll: the poll.
         """
         self.waiting[member] = Waiting(poll)
         for position in poll.have.values():
@@ -170,15 +169,15 @@
             self._answer(member)
 
     def heard_unable(self, member: MemberId, message: Unable) -> None:
-        """Take in that a daemon gets no answer of the store; it answers once it does."""
+        """Record that a daemon gets no answer from the store; it answers the poll once it has news."""
         if member in self.asked:
             self.unable.add(member)
 
     def heard_updates(self, member: MemberId, updates: Updates) -> None:
-        """Take in an answer, ask again, and pass on what is new.
+        """Apply an answer to a poll, poll again, and relay what is new.
 
-        :param member: the reader.
-        :param updates: what it tells.
+        :param member: the daemon that answered.
+        :param updates: the answer.
         """
         if updates.turned_away:
             self.unable.add(member)
@@ -186,7 +185,7 @@
             self.unable.discard(member)
         asked = self.asked.get(member)
         if asked is None or asked.number != updates.number:
-            # The answer to an earlier question: how old it is, is not known.
+            # This answers an earlier poll, so its age is unknown.
             return
         answered = asked.at + updates.waited
         for name, table in updates.tables.items():
@@ -196,24 +195,24 @@
                 recovered = 0.0 if table.recovered_age is None else answered - table.recovered_age
                 feed.receive(changes, table.after, answered - table.age, recovered)
         if member not in self.asks or now() - asked.at < LEAST_ASK_SECONDS:
-            # The next watch asks, if it is still one of those to be asked. The update may just have
-            # told that this daemon is gone.
+            # The next periodic check polls it if it is still a source; this update may just have shown that
+            # the daemon is gone.
             self.asked.pop(member, None)
         else:
             self._ask(member)
         self.tell()
 
     def without_store(self, me: MemberId) -> set[MemberId]:
-        """Return the daemons that get no answer of the store, as far as known here.
+        """Return the daemons that get no answer from the store, as far as known here.
 
-        :param me: this daemon; one of them when its own call failed lately.
+        :param me: this daemon; included if its own call failed recently.
         """
         return self.unable | {me} if self.proof.failed_recently() else self.unable
 
     def forget(self, members: Container[MemberId]) -> None:
-        """Drop what is known of daemons that are gone.
+        """Drop the state of daemons that are gone.
 
-        :param members: those that there are.
+        :param members: the daemons in the roster.
         """
         for known in (self.asked, self.waiting, self.told):
             for member in [member for member in known if member not in members]:
@@ -227,19 +226,20 @@
         self.push(reader, Poll(self.numbers, have, self.address))
 
     def _known(self) -> dict[str, Feed]:
-        """Return the tables of which there is something to tell. One that the store does not answer for
-        holds up no other: its askers read the store themselves, for that table, after a while."""
+        """Return the tables that can be relayed. One whose store calls fail doesn't hold up the others: the
+        daemons that poll for it read it from the store themselves after a while."""
         feeds = self.feeds.items()
         return {name: feed for name, feed in feeds if feed.failing_since is None and feed.is_current()}
 
     def _changed(self, member: MemberId) -> bool:
-        """Tell whether a table is newer here than whoever waits has it."""
+        """Return whether a table is newer here than in the copy of the daemon that polls."""
         have = self.waiting[member].poll.have
         known = self._known().items()
         return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in known)
 
     def _news(self, member: MemberId) -> bool:
-        """Tell whether a table is newer here than whoever waits has it, or was surely the newest later."""
+        """Return whether a table is newer here than in the copy of the daemon that polls, or much
+        fresher."""
         told = self.told.get(member, {})
         return self._changed(member) or any(
             feed.known_at - told.get(name, 0.0) >= LEAST_TELL_PART * feed.wait
@@ -255,7 +255,7 @@
         self.push(member, Updates(waiting.poll.number, waited, tables, turned_away))
 
     def _table(self, name: str, feed: Feed, have: Position | None) -> TableUpdate:
-        """Return the update of one table; packed once for all that ask from one position."""
+        """Return the update of one table; encoded once for all polls from the same position."""
         packed = self.packed.get((name, have))
         if packed is None or packed.position != feed.position:
             changes, whole = feed.changes_since(have)
@@ -268,7 +268,7 @@
 
 
 def pack(rows: Mapping[str, msgspec.Raw | None]) -> bytes:
-    """Pack rows for another daemon; nothing packs to nothing."""
+    """Encode rows for another daemon; an empty mapping gives no bytes."""
     if not rows:
         return b""
     plain = {key: None if value is None else bytes(value) for key, value in rows.items()}
@@ -276,16 +276,16 @@
 
 
 def unpack(data: bytes) -> dict[str, msgspec.Raw | None]:
-    """Unpack rows.
+    """Decode rows.
 
-    :param data: what another daemon packed.
+    :param data: rows encoded by another daemon.
     :return: rows by key.
-    :raises PeerError: when it makes no sense.
+    :raises PeerError: when the data is malformed.
     """
     if not data:
         return {}
     try:
         plain = msgspec.msgpack.decode(zlib.decompress(data), type=dict[str, bytes | None])
     except (zlib.error, msgspec.DecodeError) as error:
-        raise PeerError(f"an update makes no sense: {error}", step="update") from error
+        raise PeerError(f"malformed table update: {error}", step="update") from error
     return {key: None if value is None else msgspec.Raw(value) for key, value in plain.items()}
--- a/bayglade/readers.py
+++ b/bayglade/readers.py
@@ -1,11 +1,11 @@
-"""Readers: which daemons follow the platform's tables, and whom the others ask.
+"""Readers: which daemons follow the platform's tables in the store, and which daemons the others poll.
 
-Each call of the store is paid for and draws on a rate that all daemons share, so
-its calls must not grow with daemons. Two daemons of the whole site follow the
-store, two of each data hall ask these, and all others ask the two of their hall.
-Everybody works this out alone, from the same order of names; views may differ for
-a while, and then somebody is asked who has to ask others. A daemon only ever asks
-daemons before it in the order, so no questions run in a circle.
+Each call of the store costs money and counts against a rate limit that all daemons share, so the
+number of calls must not grow with the number of daemons. Two daemons of the whole site follow the
+store, two of each data hall poll these, and all others poll the two of their hall. Each daemon
+computes this locally from the same ranking. Views may differ for a while, and then a daemon may be
+polled that has to poll others itself. A daemon only polls daemons ranked before it, so polls never
+form a cycle.
 
 See ``docs/design/membership.md``.
 """
@@ -20,47 +20,48 @@
 from bayglade.ids import HallName, MemberId
 
 READERS = 2
-"""Readers of the site, and of each hall: the second serves while the first is lost."""
+"""Readers of the site, and of each hall: the second one serves while the first is lost."""
 MOST_UNABLE = 3
-"""Daemons that are passed over because the store does not answer them. When more say so, the store
-itself is taken to be lost: everybody trying for it in turn would call it once a daemon."""
+"""How many daemons may be passed over because the store does not answer them. If more report that, the
+store itself is considered unavailable: otherwise every daemon in turn would become a reader and call it."""
 LOST_SECONDS = 1.8
-"""A daemon that was not heard for so long is not asked: its heartbeats come each second."""
+"""A daemon that has been silent for so long is no longer polled; heartbeats arrive every second."""
 FORGIVE_SECONDS = 15.0
-"""After this time one that fell silent is asked again: it may not know that it should say something."""
+"""A silent daemon becomes eligible again after this time: it may not know that others expect messages from
+it."""
 RANK_BYTES = 8
 
 
 class Duty(Enum):
-    """What a daemon does for the others."""
+    """The part that a daemon plays in reading the platform's tables."""
 
     SITE = "site"
     """Follows the store."""
 
     HALL = "hall"
-    """Asks the readers of the site, and is asked by its hall."""
+    """Polls the readers of the site, and is polled by its hall."""
 
     FOLLOWER = "follower"
-    """Asks the readers of its hall."""
+    """Polls the readers of its hall."""
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Who reads, as one daemon sees it."""
+    """Which daemons are readers, in the view of one daemon."""
 
     duty: Duty
     asks: tuple[MemberId, ...] = ()
-    """The daemons that this one asks; none when it reads the store."""
+    """The daemons that this one polls; none when it follows the store."""
 
     readers: dict[HallName, tuple[MemberId, ...]] = {}
     """The readers of each hall."""
 
 
 class Order:
-    """All daemons in the order in which they become readers.
+    """All daemons, ranked by the order in which they become readers.
 
     :param halls: all daemons with their halls.
-    :param links: speeds of their hosts' links, in Mbit/s. Quick ones come first: what a
-        reader sends to its hall would hold everything else up on a slow link.
+    :param links: link speeds of their hosts, in Mbit/s. Daemons on fast links rank first: on a slow link,
+        relaying a table to a hall would delay all other traffic.
     """
 
     __slots__ = ("by_hall", "halls", "site")
@@ -80,7 +81,7 @@
 
 
 class Lost:
-    """Daemons that fell silent, as one daemon sees it; times are monotonic seconds."""
+    """Daemons that have gone silent, in the view of one daemon; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.since: dict[MemberId, float] = {}
@@ -89,10 +90,10 @@
         return f"<Lost {sorted(self.since)}>"
 
     def update(self, silent: Iterable[MemberId], heard: Mapping[MemberId, float]) -> None:
-        """Take in who is silent now.
+        """Update the set of silent daemons.
 
         :param silent: daemons that should have been heard and were not.
-        :param heard: when each daemon was heard last.
+        :param heard: when each daemon was last heard.
         """
         at = now()
         for member in silent:
@@ -103,12 +104,12 @@
 
 
 def make_plan(me: MemberId, order: Order, lost: Collection[MemberId], unable: Collection[MemberId]) -> Plan:
-    """Work out who reads.
+    """Choose the readers.
 
     :param me: this daemon.
-    :param order: all daemons.
-    :param lost: daemons that fell silent.
-    :param unable: daemons that live and get no answer of the store.
+    :param order: the ranking of all daemons.
+    :param lost: daemons that have gone silent.
+    :param unable: daemons that are alive but get no answer from the store.
     """
     hall = order.halls.get(me)
     if hall is None:
@@ -123,7 +124,7 @@
 
 
 def streams_of(me: MemberId, order: Order, plan: Plan) -> set[MemberId]:
-    """Return the daemons to which a daemon needs a stream: those it asks, and who may ask it."""
+    """Return the daemons to which a daemon needs a stream: those it polls, and those that may poll it."""
     if plan.duty is Duty.FOLLOWER:
         return set(plan.asks)
     hall = set(order.by_hall.get(order.halls.get(me, HallName("")), ()))
@@ -140,5 +141,6 @@
 
 
 def _rank(member: MemberId) -> bytes:
-    # Not by name: daemons of one rack or of one rolling restart often have names in a row.
+    # Ranked by hash rather than by name: daemons of one rack or of one rolling restart often have
+    # consecutive names.
     return hashlib.blake2b(member.encode(), digest_size=RANK_BYTES).digest()
--- a/bayglade/roster.py
+++ b/bayglade/roster.py
@@ -1,9 +1,8 @@
-"""The roster: which daemons there are, kept as rows of the platform's table.
+"""The roster: which daemons exist, kept as rows of the platform's table.
 
-Each daemon writes one row when it starts, unless it is there; who still lives is
-told by their heartbeats, not by the rows. The secret of the streams between daemons
-lies in a row of the same table, written once by whoever comes first. A start costs
-one read and one write.
+Each daemon writes one row when it starts, unless the row is there already. Rows do not show which
+daemons are alive; heartbeats do. The shared secret of the streams between daemons is in a row of
+the same table, written once by whichever daemon comes first. A start costs one read and one write.
 """
 
 import secrets
@@ -20,48 +19,49 @@
 
 MEMBER_PREFIX = "members/"
 SECRET_KEY = MEMBER_PREFIX + "#secret"
-"""Among the rows of the daemons, so that one read brings both; no daemon's name begins so."""
+"""Kept among the rows of the daemons so that one read returns both; no daemon's name begins like this."""
 STOP_PREFIX = MEMBER_PREFIX + "#stopped/"
-"""Keys of requests that are held back, see :mod:`bayglade.stops`."""
+"""Prefix of the keys of quarantined requests, see :mod:`bayglade.stops`."""
 SECRET_BYTES = 32
 RETRY_SECONDS = 1.0
-"""Pause after a call that failed: nothing waits for it but sharing."""
+"""Delay after a failed call; only the sharing of state between daemons waits for it."""
 SECRET_TRIES = 3
-"""Readings after which a secret that makes no sense is written anew: whoever wrote it may mend it."""
+"""Number of reads after which a malformed secret is replaced: its writer may still correct it."""
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """A daemon as its row tells of it."""
+    """The row of a daemon."""
 
     address: str
     hall: HallName
     gone: bool = False
-    """Set by others when it was silent for long; a daemon that finds itself so writes its row anew."""
+    """Set by others once the daemon was silent for long; a daemon that finds its own row marked writes it
+    again."""
 
     link_mbps: float = 0.0
-    """Speed of its host's link; 0 when it is not known."""
+    """Link speed of its host; 0 when unknown."""
 
 
 class Roster(msgspec.Struct, frozen=True):
-    """All daemons, and the secret of their streams; nothing before somebody has written it."""
+    """All daemons and the shared secret of their streams; None before any daemon has written one."""
 
     members: dict[MemberId, MemberRow] = {}
     secret: bytes | None = None
     marked: frozenset[MemberId] = frozenset()
-    """Daemons whose rows say that they are gone."""
+    """Daemons whose rows are marked as gone."""
 
     strange: frozenset[str] = frozenset()
-    """Keys of rows that make no sense: another writer left them."""
+    """Keys of malformed rows, as another writer may leave them."""
 
 
 def join(store: Table, table: str, member: MemberId, row: MemberRow, secret: bytes | None = None) -> Roster:
-    """Read the roster and write what is missing of it; tries until both are done.
+    """Read the roster and write the missing rows; retries until both have succeeded.
 
     :param store: the platform's table.
-    :param table: where the roster lies.
+    :param table: the table that holds the roster.
     :param member: the daemon's name.
-    :param row: where it takes streams of other daemons, and its data hall.
-    :param secret: the secret that its streams have; nothing when there are none yet.
+    :param row: its address for streams of other daemons, and its data hall.
+    :param secret: the secret that its streams use already; None if there are no streams yet.
     :return: the roster, with this daemon and the secret.
     """
     tries = 0
@@ -80,9 +80,9 @@
 
 
 def mark_gone(store: RowStore, member: MemberId) -> None:
-    """Take a daemon out of the roster, unless its row has changed meanwhile.
+    """Mark a daemon as gone in the roster, unless its row has changed meanwhile.
 
-    Rows of daemons that are gone would be asked first by every daemon that starts.
+    Otherwise every daemon that starts would first poll daemons that no longer exist.
 
     :param store: the platform's table.
     :param member: the daemon.
@@ -103,10 +103,10 @@
 def _write_missing(
     store: RowStore, member: MemberId, row: MemberRow, known: Roster, in_use: bytes | None
 ) -> Roster | None:
-    """Write the own row and the secret where they are not in the roster.
+    """Write the own row and the secret where they are missing from the roster.
 
-    :param in_use: the secret that streams have already, if there are any.
-    :return: the roster afterwards; nothing when another daemon wrote meanwhile.
+    :param in_use: the secret that streams use already, if there are any.
+    :return: the resulting roster; None when another daemon wrote meanwhile.
     """
     conditions, writes, secret = [], [], in_use or known.secret
     if known.members.get(member) != row:
@@ -131,9 +131,9 @@
 
 
 def read_roster(rows: Mapping[str, msgspec.Raw | None], before: Roster) -> Roster:
-    """Take rows of the table in.
+    """Return the roster with changed rows of the table applied.
 
-    :param rows: rows by key; nothing for those that were removed.
+    :param rows: rows by key; None for removed rows.
     :param before: the roster before.
     """
     members, secret, marked = dict(before.members), before.secret, set(before.marked)
