--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -143,7 +143,9 @@
 
         self.on_poll: Callable[[MemberId, wire.Poll], None] = lambda member, poll: None
         self.on_updates: Callable[[MemberId, wire.Updates], None] = lambda member, updates: None
-        self.on_unable: Callable[[MemberId, wire.Unable], None] = lambda member, message: None
+        self.on_store_unreachable: Callable[[MemberId, wire.StoreUnreachable], None] = (
+            lambda member, message: None
+        )
         self.on_findings: Callable[[MemberId, wire.Findings], None] = lambda member, message: None
         self.greet: Callable[[], list[wire.Findings]] = list
         """Returns what is sent first on each new stream to another daemon."""
@@ -371,8 +373,8 @@
             self.on_poll(sender, message)
         elif isinstance(message, wire.Updates):
             self.on_updates(sender, message)
-        elif isinstance(message, wire.Unable):
-            self.on_unable(sender, message)
+        elif isinstance(message, wire.StoreUnreachable):
+            self.on_store_unreachable(sender, message)
         elif isinstance(message, wire.Findings):
             self.on_findings(sender, message)
         elif isinstance(message, wire.Borrow):
--- a/bayglade/entries/wire.py
+++ b/bayglade/entries/wire.py
@@ -252,11 +252,11 @@
     tables: dict[str, TableUpdate]
     """Those that the sender has; one that the store does not answer for is not among them."""
 
-    turned_away: bool = False
+    store_unreachable: bool = False
     """Whether the store does not answer the sender itself, which has all this from others."""
 
 
-class Unable(msgspec.Struct, frozen=True, tag="u", array_like=True):
+class StoreUnreachable(msgspec.Struct, frozen=True, tag="u", array_like=True):
     """Says that the sender lives and gets no answer of the store itself; the poll keeps waiting."""
 
     number: int
@@ -322,7 +322,7 @@
     | Patch
     | Poll
     | Updates
-    | Unable
+    | StoreUnreachable
     | Borrow
     | Lent
     | QuotaRequest
--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -17,35 +17,35 @@
 import msgspec
 
 from bayglade.clock import now
-from bayglade.entries.wire import Message, Poll, TableUpdate, Unable, Updates
+from bayglade.entries.wire import Message, Poll, StoreUnreachable, TableUpdate, Updates
 from bayglade.exceptions import PeerError
 from bayglade.feeds import INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, ORIGIN, Feed
 from bayglade.ids import MemberId
 from bayglade.rows import Changes, Position
 
-FOLLOWER_FIRST_PAUSE = 0.8
-FOLLOWER_PAUSE = 5.0
+FOLLOWER_INITIAL_RETRY_DELAY = 0.8
+FOLLOWER_MAX_RETRY_DELAY = 5.0
 """First and longest delay between calls to a failing store, for a daemon that polls others. Each call costs
 money, and the readers, which call more often, report when the store has recovered."""
-ASK_AGAIN_SECONDS = 1.0
+POLL_TIMEOUT = 1.0
 """A poll without an answer is repeated after this time: the stream that carried it may have broken."""
-LEAST_ASK_SECONDS = 0.1
+MIN_POLL_INTERVAL = 0.1
 """Minimum time between two polls of one reader: a daemon that rejects an update would otherwise be sent it
 again at once."""
-LEAST_TELL_PART = 0.3
+MIN_FRESHER_FRACTION = 0.3
 """Fraction of a table's wait by which a table must have become fresher to be relayed for that alone. A
 daemon that polls two readers hears about each table twice in a wait, and would relay all of it."""
-GATHER_SECONDS = 0.03
+COALESCE_SECONDS = 0.03
 """Seconds for which answers without changes are collected before others are told how fresh the tables are:
 those for several tables arrive within milliseconds of each other."""
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Compression level of zlib; a document of 2,000 routes takes some milliseconds."""
 
-Push = Callable[[MemberId, Message], None]
+Send = Callable[[MemberId, Message], None]
 """Sends a message to another daemon."""
 
 
-class Asked:
+class SentPoll:
     """A poll that this daemon has sent and that is unanswered; the time is monotonic."""
 
     __slots__ = ("at", "number")
@@ -58,7 +58,7 @@
         return f"<Asked {self.number}>"
 
 
-class Waiting:
+class PendingPoll:
     """A poll of another daemon that is pending here until there are updates; the time is monotonic."""
 
     __slots__ = ("poll", "since")
@@ -75,207 +75,212 @@
     """Polls other daemons for updates of tables and relays updates to those that poll this one.
 
     :param feeds: the tables, by name.
-    :param proof: the feed whose answers show that this daemon reaches the store; of all feeds it retries a
+    :param probe_feed: the feed whose answers show that this daemon reaches the store; of all feeds it retries a
         failing store most often.
-    :param push: sends a message to another daemon.
+    :param send: sends a message to another daemon.
     :param address: where this daemon accepts streams of others.
     """
 
-    def __init__(self, feeds: Mapping[str, Feed], proof: Feed, push: Push, address: str) -> None:
+    def __init__(self, feeds: Mapping[str, Feed], probe_feed: Feed, send: Send, address: str) -> None:
         self.feeds = feeds
-        self.proof = proof
-        self.push = push
+        self.probe_feed = probe_feed
+        self.send = send
         self.address = address
-        self.asks: tuple[MemberId, ...] = ()
+        self.sources: tuple[MemberId, ...] = ()
         """The daemons that this one polls; none when it follows the store."""
 
-        self.numbers = 0
-        self.asked: dict[MemberId, Asked] = {}
-        self.waiting: dict[MemberId, Waiting] = {}
-        self.told: dict[MemberId, dict[str, float]] = {}
+        self.last_number = 0
+        self.sent_polls: dict[MemberId, SentPoll] = {}
+        self.pending_polls: dict[MemberId, PendingPoll] = {}
+        self.relayed_known_at: dict[MemberId, dict[str, float]] = {}
         """By daemon that polled: for each table, the ``known_at`` of the last update sent to it."""
 
-        self.unable: set[MemberId] = set()
+        self.peers_without_store: set[MemberId] = set()
         """Daemons polled by this one that get no answer from the store themselves."""
 
-        self.telling = False
-        """Whether a delayed relay is scheduled."""
-
-        self.packed: dict[tuple[str, Position | None], TableUpdate] = {}
+        self.relay_scheduled = False
+        self.encoded_updates: dict[tuple[str, Position | None], TableUpdate] = {}
         """The encoded updates sent last, by table and the position they follow."""
 
         for feed in feeds.values():
-            feed.on_answer = self._tell_soon
-        self.proof.on_failing = self.refuse
+            feed.on_answer = self._relay_changes
+        self.probe_feed.on_failing = self.report_store_lost
 
     def __repr__(self) -> str:
-        return f"<Fanout asks={self.asks} {len(self.waiting)} waiting>"
+        return f"<Fanout sources={self.sources} {len(self.pending_polls)} pending>"
 
-    def assign(self, asks: tuple[MemberId, ...]) -> None:
+    def set_sources(self, sources: tuple[MemberId, ...]) -> None:
         """Set the daemons to poll.
 
-        :param asks: the daemons; none when this one follows the store.
+        :param sources: the daemons; none when this one follows the store.
         """
-        self.asks = asks
+        self.sources = sources
         for feed in self.feeds.values():
-            feed.rely_on_relays(bool(asks))
-            feed.initial_retry_delay = FOLLOWER_FIRST_PAUSE if asks else INITIAL_RETRY_DELAY
-            feed.max_retry_delay = FOLLOWER_PAUSE if asks else MAX_RETRY_DELAY
+            feed.rely_on_relays(bool(sources))
+            feed.initial_retry_delay = FOLLOWER_INITIAL_RETRY_DELAY if sources else INITIAL_RETRY_DELAY
+            feed.max_retry_delay = FOLLOWER_MAX_RETRY_DELAY if sources else MAX_RETRY_DELAY
 
-    def watch(self) -> None:
+    def poll_sources(self) -> None:
         """Poll sources that were not polled yet or have not answered for long; called often."""
         at = now()
-        for reader in self.asks:
-            asked = self.asked.get(reader)
-            if asked is None or at - asked.at >= ASK_AGAIN_SECONDS:
-                self._ask(reader)
+        for source in self.sources:
+            sent = self.sent_polls.get(source)
+            if sent is None or at - sent.at >= POLL_TIMEOUT:
+                self._send_poll(source)
 
-    def tell(self) -> None:
+    def relay(self) -> None:
         """Answer pending polls for which there is news."""
-        for member in list(self.waiting):
-            if self._news(member):
+        for member in list(self.pending_polls):
+            if self._has_news(member):
                 self._answer(member)
 
-    def _tell_soon(self) -> None:
+    def _relay_changes(self) -> None:
         """Relay changes at once, and after a short delay tables that are merely fresher."""
-        for member in list(self.waiting):
-            if self._changed(member):
+        for member in list(self.pending_polls):
+            if self._has_changes(member):
                 self._answer(member)
-        if not self.telling:
-            self.telling = True
-            eventlet.spawn_after(GATHER_SECONDS, self._tell_gathered)
+        if not self.relay_scheduled:
+            self.relay_scheduled = True
+            eventlet.spawn_after(COALESCE_SECONDS, self._relay_coalesced)
 
-    def _tell_gathered(self) -> None:
-        self.telling = False
-        self.tell()
+    def _relay_coalesced(self) -> None:
+        self.relay_scheduled = False
+        self.relay()
 
-    def refuse(self) -> None:
+    def report_store_lost(self) -> None:
         """Tell all daemons with a pending poll that the store does not answer."""
-        for member, waiting in self.waiting.items():
-            self.push(member, Unable(waiting.poll.number))
+        for member, pending in self.pending_polls.items():
+            self.send(member, StoreUnreachable(pending.poll.number))
 
-    def heard_poll(self, member: MemberId, poll: Poll) -> None:
+    def receive_poll(self, member: MemberId, poll: Poll) -> None:
         """Register a poll; it is answered once there is news.
 
         :param member: the daemon that polls.
         :param poll: the poll.
         """
-        self.waiting[member] = Waiting(poll)
+        self.pending_polls[member] = PendingPoll(poll)
         for position in poll.have.values():
-            self.proof.history.note(position.epoch)
-        if self.proof.lost_at:
-            self.push(member, Unable(poll.number))
-        if self._news(member):
+            self.probe_feed.history.note(position.epoch)
+        if self.probe_feed.lost_at:
+            self.send(member, StoreUnreachable(poll.number))
+        if self._has_news(member):
             self._answer(member)
 
-    def heard_unable(self, member: MemberId, message: Unable) -> None:
+    def receive_store_unreachable(self, member: MemberId, message: StoreUnreachable) -> None:
         """Record that a daemon gets no answer from the store; it answers the poll once it has news."""
-        if member in self.asked:
-            self.unable.add(member)
+        if member in self.sent_polls:
+            self.peers_without_store.add(member)
 
-    def heard_updates(self, member: MemberId, updates: Updates) -> None:
+    def receive_updates(self, member: MemberId, updates: Updates) -> None:
         """Apply an answer to a poll, poll again, and relay what is new.
 
         :param member: the daemon that answered.
         :param updates: the answer.
         """
-        if updates.turned_away:
-            self.unable.add(member)
+        if updates.store_unreachable:
+            self.peers_without_store.add(member)
         else:
-            self.unable.discard(member)
-        asked = self.asked.get(member)
-        if asked is None or asked.number != updates.number:
+            self.peers_without_store.discard(member)
+        sent = self.sent_polls.get(member)
+        if sent is None or sent.number != updates.number:
             # This answers an earlier poll, so its age is unknown.
             return
-        answered = asked.at + updates.waited
+        answered = sent.at + updates.waited
         for name, table in updates.tables.items():
             feed = self.feeds.get(name)
             if feed is not None:
-                changes = Changes(unpack(table.rows), table.position.version, table.position.epoch)
+                changes = Changes(decode_rows(table.rows), table.position.version, table.position.epoch)
                 recovered = 0.0 if table.recovered_age is None else answered - table.recovered_age
                 feed.receive(changes, table.after, answered - table.age, recovered)
-        if member not in self.asks or now() - asked.at < LEAST_ASK_SECONDS:
+        if member not in self.sources or now() - sent.at < MIN_POLL_INTERVAL:
             # The next periodic check polls it if it is still a source; this update may just have shown that
             # the daemon is gone.
-            self.asked.pop(member, None)
+            self.sent_polls.pop(member, None)
         else:
-            self._ask(member)
-        self.tell()
+            self._send_poll(member)
+        self.relay()
 
     def without_store(self, me: MemberId) -> set[MemberId]:
         """Return the daemons that get no answer from the store, as far as known here.
 
         :param me: this daemon; included if its own call failed recently.
         """
-        return self.unable | {me} if self.proof.failed_recently() else self.unable
+        return (
+            self.peers_without_store | {me}
+            if self.probe_feed.failed_recently()
+            else self.peers_without_store
+        )
 
     def forget(self, members: Container[MemberId]) -> None:
         """Drop the state of daemons that are gone.
 
         :param members: the daemons in the roster.
         """
-        for known in (self.asked, self.waiting, self.told):
+        for known in (self.sent_polls, self.pending_polls, self.relayed_known_at):
             for member in [member for member in known if member not in members]:
                 del known[member]
-        self.unable = {member for member in self.unable if member in members}
+        self.peers_without_store = {member for member in self.peers_without_store if member in members}
 
-    def _ask(self, reader: MemberId) -> None:
-        self.numbers += 1
-        self.asked[reader] = Asked(self.numbers)
+    def _send_poll(self, source: MemberId) -> None:
+        self.last_number += 1
+        self.sent_polls[source] = SentPoll(self.last_number)
         have = {name: feed.position for name, feed in self.feeds.items() if feed.position is not None}
-        self.push(reader, Poll(self.numbers, have, self.address))
+        self.send(source, Poll(self.last_number, have, self.address))
 
-    def _known(self) -> dict[str, Feed]:
-        """Return the tables that can be relayed. One whose store calls fail doesn't hold up the others: the
-        daemons that poll for it read it from the store themselves after a while."""
+    def _relayable(self) -> dict[str, Feed]:
+        """Return the tables that can be relayed.
+
+        One whose store calls fail doesn't hold up the others: the daemons that poll for it read it from the
+        store themselves after a while.
+        """
         feeds = self.feeds.items()
         return {name: feed for name, feed in feeds if feed.failing_since is None and feed.is_current()}
 
-    def _changed(self, member: MemberId) -> bool:
+    def _has_changes(self, member: MemberId) -> bool:
         """Return whether a table is newer here than in the copy of the daemon that polls."""
-        have = self.waiting[member].poll.have
-        known = self._known().items()
-        return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in known)
+        have = self.pending_polls[member].poll.have
+        relayable = self._relayable().items()
+        return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in relayable)
 
-    def _news(self, member: MemberId) -> bool:
-        """Return whether a table is newer here than in the copy of the daemon that polls, or much
+    def _has_news(self, member: MemberId) -> bool:
+        """Return whether a table is newer here than in the copy of the daemon that polls, or notably
         fresher."""
-        told = self.told.get(member, {})
-        return self._changed(member) or any(
-            feed.known_at - told.get(name, 0.0) >= LEAST_TELL_PART * feed.wait
-            for name, feed in self._known().items()
+        relayed = self.relayed_known_at.get(member, {})
+        return self._has_changes(member) or any(
+            feed.known_at - relayed.get(name, 0.0) >= MIN_FRESHER_FRACTION * feed.wait
+            for name, feed in self._relayable().items()
         )
 
     def _answer(self, member: MemberId) -> None:
-        waiting, known = self.waiting.pop(member), self._known()
-        self.told[member] = {name: feed.known_at for name, feed in known.items()}
-        have = waiting.poll.have
-        tables = {name: self._table(name, feed, have.get(name)) for name, feed in known.items()}
-        waited, turned_away = now() - waiting.since, self.proof.lost_at > 0
-        self.push(member, Updates(waiting.poll.number, waited, tables, turned_away))
-
-    def _table(self, name: str, feed: Feed, have: Position | None) -> TableUpdate:
+        pending, relayable = self.pending_polls.pop(member), self._relayable()
+        self.relayed_known_at[member] = {name: feed.known_at for name, feed in relayable.items()}
+        have = pending.poll.have
+        tables = {name: self._table_update(name, feed, have.get(name)) for name, feed in relayable.items()}
+        waited, store_unreachable = now() - pending.since, self.probe_feed.lost_at > 0
+        self.send(member, Updates(pending.poll.number, waited, tables, store_unreachable))
+
+    def _table_update(self, name: str, feed: Feed, have: Position | None) -> TableUpdate:
         """Return the update of one table; encoded once for all polls from the same position."""
-        packed = self.packed.get((name, have))
-        if packed is None or packed.position != feed.position:
+        update = self.encoded_updates.get((name, have))
+        if update is None or update.position != feed.position:
             changes, whole = feed.changes_since(have)
-            packed = TableUpdate(None if whole else have, changes.position, 0.0, pack(changes.rows))
-            if len(self.packed) > len(self.feeds) * 8:
-                self.packed.clear()
-            self.packed[name, have] = packed
+            update = TableUpdate(None if whole else have, changes.position, 0.0, encode_rows(changes.rows))
+            if len(self.encoded_updates) > len(self.feeds) * 8:
+                self.encoded_updates.clear()
+            self.encoded_updates[name, have] = update
         recovered = now() - feed.recovered_at if feed.recovered_at else None
-        return msgspec.structs.replace(packed, age=feed.age(), recovered_age=recovered)
+        return msgspec.structs.replace(update, age=feed.age(), recovered_age=recovered)
 
 
-def pack(rows: Mapping[str, msgspec.Raw | None]) -> bytes:
+def encode_rows(rows: Mapping[str, msgspec.Raw | None]) -> bytes:
     """Encode rows for another daemon; an empty mapping gives no bytes."""
     if not rows:
         return b""
     plain = {key: None if value is None else bytes(value) for key, value in rows.items()}
-    return zlib.compress(msgspec.msgpack.encode(plain), PACK_LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(plain), COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes) -> dict[str, msgspec.Raw | None]:
+def decode_rows(data: bytes) -> dict[str, msgspec.Raw | None]:
     """Decode rows.
 
     :param data: rows encoded by another daemon.
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -11,7 +11,7 @@
 
 from bayglade.clock import now
 from bayglade.entries.wire import Borrow, Lent
-from bayglade.fanout import Push
+from bayglade.fanout import Send
 from bayglade.ids import MemberId
 from bayglade.questions import Questions
 from bayglade.retries import RetryBudget
@@ -34,7 +34,7 @@
     :param window: seconds over which the bound counts.
     """
 
-    def __init__(self, readers: Callable[[], Sequence[MemberId]], push: Push, window: float) -> None:
+    def __init__(self, readers: Callable[[], Sequence[MemberId]], push: Send, window: float) -> None:
         self.readers = readers
         self.push = push
         self.window = window
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -131,7 +131,7 @@
         )
         if config.peer_ports:
             # Others may tell of the tables before the roster is known here.
-            self.fanout.assign((config.member,))
+            self.fanout.set_sources((config.member,))
 
     def __repr__(self) -> str:
         return f"<Peering {self.plan.duty.value} {self.membership!r}>"
@@ -221,7 +221,7 @@
         self._make_plan()
         self._clean_roster()
         self._keep_stops()
-        self.fanout.watch()
+        self.fanout.poll_sources()
         self.peers.fleet.rate_limits.tidy()
         self.quotas.tidy()
         for budget in self.peers.budgets.values():
@@ -328,8 +328,8 @@
         membership.on_due = lambda: self.totals.add_up(self._loads())
         membership.sums_for = self.totals.for_member
         membership.on_poll = self._heard_poll
-        membership.on_updates = self.fanout.heard_updates
-        membership.on_unable = self.fanout.heard_unable
+        membership.on_updates = self.fanout.receive_updates
+        membership.on_store_unreachable = self.fanout.receive_store_unreachable
         membership.on_findings = self.spreading.heard
         membership.greet = self.spreading.greeting
         membership.on_borrow = self.pools.heard_borrow
@@ -420,7 +420,7 @@
         mesh = len(self.order.site) <= FULL_MESH
         self.totals.assign(self.order.halls, {} if mesh else plan.readers)
         self.pools.assign(self._pooled())
-        self.fanout.assign(plan.asks)
+        self.fanout.set_sources(plan.asks)
         self._keep_streams()
 
     def _keep_streams(self) -> None:
@@ -431,7 +431,7 @@
             self.membership.sync(addresses)
             return
         wanted = streams_of(self.config.member, self.order, self.plan)
-        wanted |= self.fanout.waiting.keys() & addresses.keys()
+        wanted |= self.fanout.pending_polls.keys() & addresses.keys()
         self.membership.sync(addresses, wanted)
 
     def _heard_beat(self, member: MemberId, beat: wire.Heartbeat) -> None:
@@ -444,7 +444,7 @@
             # It started just now. Its hall matters for sums only, and comes with its row.
             known = {**self.roster.members, member: MemberRow(poll.address, self.config.hall)}
             self.roster = msgspec.structs.replace(self.roster, members=known)
-        self.fanout.heard_poll(member, poll)
+        self.fanout.receive_poll(member, poll)
         if self.membership is not None and member not in self.membership.members:
             self._keep_streams()
 
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -16,7 +16,7 @@
 from bayglade.buckets import Bucket
 from bayglade.clock import now
 from bayglade.entries.wire import LimitNotice, QuotaReply, QuotaRequest, QuotaReturn
-from bayglade.fanout import Push
+from bayglade.fanout import Send
 from bayglade.ids import MemberId, ServerKey, ServiceName
 from bayglade.questions import Questions
 from bayglade.rate_limits import RateLimits, lent_rate
@@ -81,7 +81,7 @@
         me: MemberId,
         keeper: Keeper,
         route: Route,
-        push: Push,
+        push: Send,
         wake: Callable[[ServiceName], None],
         rng: random.Random,
     ) -> None:
--- a/benches/restored.py
+++ b/benches/restored.py
@@ -16,7 +16,7 @@
 
 from bayglade import epochs, fanout, feeds, readers
 from bayglade.entries.wire import Updates
-from bayglade.fanout import pack, unpack
+from bayglade.fanout import decode_rows, encode_rows
 from bayglade.ids import MemberId, StoreEpoch
 from benches.common import print_table
 from standins.users import KEY, configuration
@@ -46,14 +46,14 @@
     fleet.start()
     eventlet.sleep(8.0)
     for daemon in fleet.daemons.values():
-        push = daemon.fanout.push
+        push = daemon.fanout.send
 
         def counted(member: MemberId, message: object, me: MemberId = daemon.name, push=push) -> None:  # type: ignore[no-untyped-def]
             if isinstance(message, Updates):
                 sent[me] += sum(u.after is None and bool(u.rows) for u in message.tables.values())
             push(member, message)
 
-        daemon.fanout.push = counted
+        daemon.fanout.send = counted
     calls = fleet.store.calls.total()
     fleet.store.restore(5)
     eventlet.sleep(SECOND)
@@ -75,9 +75,9 @@
     found: list[list[object]] = []
     for name, table in rows.items():
         began = time.process_time()
-        packed = pack(table)
+        packed = encode_rows(table)
         middle = time.process_time()
-        unpack(packed)
+        decode_rows(packed)
         found.append([name, len(packed), 1000 * (middle - began), 1000 * (time.process_time() - middle)])
     return found
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -14,7 +14,7 @@
 import pytest
 
 from bayglade import epochs, fanout, feeds, readers
-from bayglade.entries.wire import Poll, Unable, Updates
+from bayglade.entries.wire import Poll, StoreUnreachable, Updates
 from bayglade.epochs import StoreHistory
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
 from bayglade.fanout import Fanout
@@ -147,7 +147,7 @@
             for table, bound in bounds.items()
         }
         self.fanout = Fanout(self.feeds, self.feeds["document"], self.push, "x:1")
-        self.fanout.assign((name,))
+        self.fanout.set_sources((name,))
         link_feeds(self.feeds.values())
         self.lost = Lost()
         self.plan = Plan(readers.Duty.SITE)
@@ -185,11 +185,11 @@
         self.heard[sender] = now()
         if isinstance(message, Poll):
             self.streams.setdefault(sender, now())
-            self.fanout.heard_poll(sender, message)
+            self.fanout.receive_poll(sender, message)
         elif isinstance(message, Updates):
-            self.fanout.heard_updates(sender, message)
-        elif isinstance(message, Unable):
-            self.fanout.heard_unable(sender, message)
+            self.fanout.receive_updates(sender, message)
+        elif isinstance(message, StoreUnreachable):
+            self.fanout.receive_store_unreachable(sender, message)
 
     def watch(self) -> None:
         eventlet.sleep(self.fleet.rng.random() * WATCH_SECONDS)
@@ -210,11 +210,11 @@
         plan = make_plan(self.name, self.fleet.order, self.lost.since, unable)
         if plan != self.plan:
             self.plan = plan
-            self.fanout.assign(plan.asks)
-        wanted = streams_of(self.name, self.fleet.order, plan) | self.fanout.waiting.keys()
+            self.fanout.set_sources(plan.asks)
+        wanted = streams_of(self.name, self.fleet.order, plan) | self.fanout.pending_polls.keys()
         # In order, so that a seed plays the same each time.
         self.streams = {member: self.streams.get(member, now()) for member in sorted(wanted)}
-        self.fanout.watch()
+        self.fanout.poll_sources()
 
 
 class Fleet:
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -8,9 +8,9 @@
 import pytest
 
 from bayglade import fanout, feeds
-from bayglade.entries.wire import Poll, Unable, Updates
+from bayglade.entries.wire import Poll, StoreUnreachable, Updates
 from bayglade.exceptions import PeerError, PlatformUnavailable
-from bayglade.fanout import FOLLOWER_PAUSE, LEAST_TELL_PART, Fanout, pack, unpack
+from bayglade.fanout import FOLLOWER_MAX_RETRY_DELAY, MIN_FRESHER_FRACTION, Fanout, decode_rows, encode_rows
 from bayglade.feeds import Feed, link_feeds
 from bayglade.freshness import relay_validity
 from bayglade.ids import UNKNOWN_EPOCH, MemberId
@@ -67,7 +67,7 @@
 
     def __init__(self, table: Table) -> None:
         self.taken: dict[str, bytes | None] = {}
-        self.outbox: list[tuple[MemberId, Poll | Updates | Unable]] = []
+        self.outbox: list[tuple[MemberId, Poll | Updates | StoreUnreachable]] = []
         self.feed = Feed(table, "t", WAIT, self._apply)
         self.fanout = Fanout(
             {"t": self.feed}, self.feed, lambda m, message: self.outbox.append((m, message)), "x:1"
@@ -78,7 +78,7 @@
             self.taken.clear()
         self.taken |= {k: None if v is None else bytes(v) for k, v in changes.rows.items()}
 
-    def sent(self) -> Poll | Updates | Unable:
+    def sent(self) -> Poll | Updates | StoreUnreachable:
         return self.outbox.pop(0)[1]
 
 
@@ -95,8 +95,8 @@
     """Return a table, a reader that has read it, and a follower that knows nothing."""
     table = Table()
     reader, follower = Daemon(table), Daemon(table)
-    reader.fanout.assign(())
-    follower.fanout.assign((MemberId("d0"),))
+    reader.fanout.set_sources(())
+    follower.fanout.set_sources((MemberId("d0"),))
     table.put("a", b"1")
     reader.feed._poll()
     return table, reader, follower
@@ -104,13 +104,13 @@
 
 def exchange(reader: Daemon, follower: Daemon) -> None:
     """Carry one question and its answer over."""
-    follower.fanout.watch()
+    follower.fanout.poll_sources()
     ask = follower.sent()
     assert isinstance(ask, Poll)
-    reader.fanout.heard_poll(MemberId("d5"), ask)
+    reader.fanout.receive_poll(MemberId("d5"), ask)
     answer = reader.sent()
     assert isinstance(answer, Updates)
-    follower.fanout.heard_updates(MemberId("d0"), answer)
+    follower.fanout.receive_updates(MemberId("d0"), answer)
 
 
 def test_a_follower_learns_the_table_and_its_changes_without_a_call(
@@ -122,11 +122,11 @@
     table.put("a", b"2")
     table.put("b", b"3")
     clock.at += 1.0
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     assert reader.outbox == []
     reader.feed._poll()
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.taken == {"a": b"2", "b": b"3"}
     assert table.calls == 2
 
@@ -136,13 +136,13 @@
 ) -> None:
     _, reader, follower = hall
     clock.at += 0.5
-    follower.fanout.watch()
+    follower.fanout.poll_sources()
     ask = follower.sent()
     clock.at += 3.0
-    reader.fanout.heard_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
+    reader.fanout.receive_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
     answer = reader.sent()
     clock.at += 4.0
-    follower.fanout.heard_updates(MemberId("d0"), answer)  # type: ignore[arg-type]
+    follower.fanout.receive_updates(MemberId("d0"), answer)  # type: ignore[arg-type]
     # Only the time between the question and the answer is known to have passed at the reader:
     # none, and its own knowledge was 3.5 seconds old.
     assert follower.feed.age() == pytest.approx(7.0 + 3.5)
@@ -153,12 +153,12 @@
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     late = reader.sent()
     clock.at += 2.0
-    follower.fanout.watch()
-    follower.fanout.heard_updates(MemberId("d0"), late)  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    follower.fanout.receive_updates(MemberId("d0"), late)  # type: ignore[arg-type]
     assert follower.taken == {}
 
 
@@ -168,19 +168,19 @@
     table, reader, follower = hall
     table.lost = True
     reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
-    follower.fanout.watch()
+    follower.fanout.poll_sources()
     ask = follower.sent()
-    reader.fanout.heard_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
+    reader.fanout.receive_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
     refusal = reader.sent()
-    assert isinstance(refusal, Unable)
-    follower.fanout.heard_unable(MemberId("d0"), refusal)
-    assert follower.fanout.unable == {"d0"}
-    reader.fanout.tell()
+    assert isinstance(refusal, StoreUnreachable)
+    follower.fanout.receive_store_unreachable(MemberId("d0"), refusal)
+    assert follower.fanout.peers_without_store == {"d0"}
+    reader.fanout.relay()
     assert reader.outbox == []
     table.lost = False
     reader.feed._poll()
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.fanout.unable == set()
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    assert follower.fanout.peers_without_store == set()
     assert follower.taken == {"a": b"1"}
 
 
@@ -190,27 +190,27 @@
     _, reader, follower = hall
     exchange(reader, follower)
     clock.at += 1.0
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     assert reader.outbox == []
     reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
-    assert isinstance(reader.sent(), Unable)
-    assert MemberId("d5") in reader.fanout.waiting
+    assert isinstance(reader.sent(), StoreUnreachable)
+    assert MemberId("d5") in reader.fanout.pending_polls
 
 
 def test_what_is_heard_is_passed_on_with_its_age(hall: tuple[Table, Daemon, Daemon], clock: Clock) -> None:
     table, reader, middle = hall
     last = Daemon(table)
-    last.fanout.assign((MemberId("d5"),))
-    last.fanout.watch()
-    middle.fanout.heard_poll(MemberId("d9"), last.sent())  # type: ignore[arg-type]
+    last.fanout.set_sources((MemberId("d5"),))
+    last.fanout.poll_sources()
+    middle.fanout.receive_poll(MemberId("d9"), last.sent())  # type: ignore[arg-type]
     assert middle.outbox == []
     clock.at += 0.4
-    middle.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), middle.sent())  # type: ignore[arg-type]
-    middle.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    middle.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), middle.sent())  # type: ignore[arg-type]
+    middle.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     answer = next(message for member, message in middle.outbox if member == "d9")
-    last.fanout.heard_updates(MemberId("d5"), answer)  # type: ignore[arg-type]
+    last.fanout.receive_updates(MemberId("d5"), answer)  # type: ignore[arg-type]
     assert last.taken == {"a": b"1"}
     # The reader read 0.4 s ago; the last one's question lay there for as long.
     assert last.feed.age() == pytest.approx(0.4)
@@ -222,16 +222,16 @@
 ) -> None:
     _, reader, follower = hall
     exchange(reader, follower)
-    clock.at += LEAST_TELL_PART * WAIT / 2
-    follower.fanout.watch()
+    clock.at += MIN_FRESHER_FRACTION * WAIT / 2
+    follower.fanout.poll_sources()
     clock.at += 1.0
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
-    reader.feed.known_at += LEAST_TELL_PART * WAIT / 2
-    reader.fanout.tell()
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    reader.feed.known_at += MIN_FRESHER_FRACTION * WAIT / 2
+    reader.fanout.relay()
     assert reader.outbox == []
-    reader.feed.known_at += LEAST_TELL_PART * WAIT
-    reader.fanout.tell()
+    reader.feed.known_at += MIN_FRESHER_FRACTION * WAIT
+    reader.fanout.relay()
     assert isinstance(reader.sent(), Updates)
 
 
@@ -255,9 +255,9 @@
     follower.feed.failing_since = clock.at
     reader.feed.store.put("a", b"2")  # type: ignore[attr-defined]
     reader.feed._poll()
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.taken == {"a": b"2"}
     assert follower.feed.failing_since is None
     assert follower.feed._seconds_to_call() > 0
@@ -276,9 +276,9 @@
     reader.feed._poll()
     back_at = clock.at
     clock.at += 0.5
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.taken == {"a": None}
     assert follower.feed.recovered_at == pytest.approx(back_at)
 
@@ -339,26 +339,26 @@
 
 def test_rows_are_packed_and_unpacked() -> None:
     rows = {"a": msgspec.Raw(b'{"x":1}'), "b": None}
-    unpacked = unpack(pack(rows))
+    unpacked = decode_rows(encode_rows(rows))
     assert {k: v if v is None else bytes(v) for k, v in unpacked.items()} == {"a": b'{"x":1}', "b": None}
-    assert unpack(pack({})) == {}
+    assert decode_rows(encode_rows({})) == {}
 
 
-@pytest.mark.parametrize("data", [b"x", pack({"a": None})[:-2]], ids=["no zlib", "cut"])
+@pytest.mark.parametrize("data", [b"x", encode_rows({"a": None})[:-2]], ids=["no zlib", "cut"])
 def test_updates_that_make_no_sense_are_an_error(data: bytes) -> None:
     with pytest.raises(PeerError):
-        unpack(data)
+        decode_rows(data)
 
 
 def test_a_follower_asks_a_lost_store_seldom_until_a_reader_has_an_answer() -> None:
     table = Table()
     follower = Daemon(table)
-    follower.fanout.assign((MemberId("d0"),))
-    assert follower.feed.max_retry_delay == FOLLOWER_PAUSE
+    follower.fanout.set_sources((MemberId("d0"),))
+    assert follower.feed.max_retry_delay == FOLLOWER_MAX_RETRY_DELAY
     started = time.monotonic()
     waiting = eventlet.spawn(follower.feed._wait_for_wake, 30.0)
     eventlet.sleep(0)
-    follower.fanout.assign(())
+    follower.fanout.set_sources(())
     waiting.wait()
     assert time.monotonic() - started < 10.0
     assert follower.feed.max_retry_delay == feeds.MAX_RETRY_DELAY
@@ -367,11 +367,11 @@
 def test_a_daemon_at_its_start_waits_a_moment_for_others_to_tell_it(clock: Clock) -> None:
     table = Table()
     daemon = Daemon(table)
-    daemon.fanout.assign((MemberId("d0"),))
+    daemon.fanout.set_sources((MemberId("d0"),))
     assert daemon.feed._seconds_to_call() <= 0
     daemon.feed._poll()
     assert daemon.feed._seconds_to_call() == pytest.approx(feeds.SNAPSHOT_REST_SECONDS)
-    daemon.fanout.assign(())
+    daemon.fanout.set_sources(())
     assert daemon.feed._seconds_to_call() <= 0
 
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -212,7 +212,7 @@
         eventlet.sleep(10.0)
         made = fleet.store.calls - before
         often = (READERS + MOST_UNABLE) / feeds.MAX_RETRY_DELAY
-        seldom = DAEMONS / fanout.FOLLOWER_PAUSE
+        seldom = DAEMONS / fanout.FOLLOWER_MAX_RETRY_DELAY
         for table in fleets.TABLES:
             calls = sum(count for (_, asked), count in made.items() if asked == table)
             assert calls <= 10.0 * (often + seldom) + 3 * DAEMONS
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -136,9 +136,9 @@
 def test_a_question_from_a_later_epoch_has_a_reader_read_anew() -> None:
     feed = known_feed(2, 10)
     fanout = Fanout({"t": feed}, feed, lambda member, message: None, "x:1")
-    fanout.heard_poll(MemberId("d5"), Poll(1, {"t": Position(StoreEpoch(3), 1)}, "x:2"))
+    fanout.receive_poll(MemberId("d5"), Poll(1, {"t": Position(StoreEpoch(3), 1)}, "x:2"))
     assert not feed.is_current()
-    assert MemberId("d5") in fanout.waiting
+    assert MemberId("d5") in fanout.pending_polls
 
 
 def test_an_answer_of_an_earlier_epoch_is_no_answer(stored: MetadataStore) -> None:
