--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -75,8 +75,8 @@
     """Polls other daemons for updates of tables and relays updates to those that poll this one.
 
     :param feeds: the tables, by name.
-    :param probe_feed: the feed whose answers show that this daemon reaches the store; of all feeds it retries a
-        failing store most often.
+    :param probe_feed: the feed whose answers show that this daemon reaches the store; of all feeds it
+        retries a failing store most often.
     :param send: sends a message to another daemon.
     :param address: where this daemon accepts streams of others.
     """
@@ -243,8 +243,8 @@
         return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in relayable)
 
     def _has_news(self, member: MemberId) -> bool:
-        """Return whether a table is newer here than in the copy of the daemon that polls, or notably
-        fresher."""
+        """Return whether a table is newer or notably fresher here than in the copy of the daemon that
+        polls."""
         relayed = self.relayed_known_at.get(member, {})
         return self._has_changes(member) or any(
             feed.known_at - relayed.get(name, 0.0) >= MIN_FRESHER_FRACTION * feed.wait
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -33,7 +33,15 @@
 from bayglade.logs import event
 from bayglade.lost_rows import REWRITE_GRACE_SECONDS, merge_restored, rewrite_delay, stored_members
 from bayglade.quotas import Quotas, choose_keeper
-from bayglade.readers import LOST_SECONDS, Duty, Lost, Order, Plan, make_plan, streams_of
+from bayglade.readers import (
+    LOST_AFTER_SECONDS,
+    LostDaemons,
+    Ranking,
+    ReaderPlan,
+    Role,
+    needed_streams,
+    plan_readers,
+)
 from bayglade.relay import Peers
 from bayglade.retries import BUDGET_FLOOR, RetryBudget
 from bayglade.roster import MemberRow, Roster, join, mark_gone, read_roster
@@ -89,9 +97,9 @@
         self.peers = peers
         self.rng = rng
         self.roster = Roster()
-        self.order = Order({})
-        self.plan = Plan(Duty.SITE)
-        self.lost = Lost()
+        self.ranking = Ranking({})
+        self.plan = ReaderPlan(Role.SITE_READER)
+        self.lost_daemons = LostDaemons()
         self.clean_at = 0.0
         self.roster_position: Position | None = None
         """Up to where the roster was taken in."""
@@ -113,7 +121,7 @@
             peers.fleet,
             peers.diagnosis,
             self._tell,
-            lambda: self.plan.duty is not Duty.FOLLOWER,
+            lambda: self.plan.role is not Role.FOLLOWER,
             self.count,
             rng,
             peers.quarantine,
@@ -134,7 +142,7 @@
             self.fanout.set_sources((config.member,))
 
     def __repr__(self) -> str:
-        return f"<Peering {self.plan.duty.value} {self.membership!r}>"
+        return f"<Peering {self.plan.role.value} {self.membership!r}>"
 
     def run(self) -> None:
         """Join the other gateways, then watch them for ever."""
@@ -161,7 +169,7 @@
 
     def reads(self) -> bool:
         """Tell whether this gateway reads the store for others, or there are no others that do."""
-        return self.plan.duty is Duty.SITE
+        return self.plan.role is Role.SITE_READER
 
     def leave(self) -> None:
         """Tell the others that this gateway stops."""
@@ -171,7 +179,7 @@
 
     def count(self) -> int:
         """Return how many gateways there are, as far as known here."""
-        return max(1, len(self.order.site))
+        return max(1, len(self.ranking.ranked))
 
     def _catch_up(self) -> None:
         """Have this gateway serve once it knows that others have no newer settings."""
@@ -194,12 +202,12 @@
         if self.membership is None:
             return None
         hall = server.facts.hall
-        if len(self.order.site) > FULL_MESH:
-            readers = self.plan.readers
+        if len(self.ranking.ranked) > FULL_MESH:
+            readers = self.plan.hall_readers
             return choose_keeper(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
-        gone = self.lost.since.keys() | self.membership.stopping()
-        live = [member for member in self.order.site if member not in gone]
-        near = [member for member in live if self.order.halls[member] == hall]
+        gone = self.lost_daemons.since.keys() | self.membership.stopping()
+        live = [member for member in self.ranking.ranked if member not in gone]
+        near = [member for member in live if self.ranking.halls[member] == hall]
         return choose_keeper(server.facts.key, near or live)
 
     def _route(self, member: MemberId) -> MemberId | None:
@@ -217,7 +225,7 @@
         """Notice who fell silent and who is back, and do what is due."""
         assert self.membership is not None
         self.membership.watch()
-        self.lost.update(self.membership.silent(LOST_SECONDS), self.membership.heard)
+        self.lost_daemons.update(self.membership.silent(LOST_AFTER_SECONDS), self.membership.heard)
         self._make_plan()
         self._clean_roster()
         self._keep_stops()
@@ -230,7 +238,7 @@
     def _clean_roster(self) -> None:
         """Take gateways of the own hall that are gone out of the roster, as its first reader."""
         assert self.membership is not None
-        readers = self.plan.readers.get(self.config.hall, ())
+        readers = self.plan.hall_readers.get(self.config.hall, ())
         if now() < self.clean_at or readers[:1] != (self.config.member,):
             return
         self.clean_at = now() + CLEAN_SECONDS
@@ -257,7 +265,7 @@
             evidence.write_at = now() + STOP_RETRY_SECONDS
             eventlet.spawn_n(self._change_stop, partial(write_stop, self.store, name, set(evidence.ends)))
         over = quarantine.take_lifts()
-        if self.plan.readers.get(self.config.hall, ())[:1] == (self.config.member,):
+        if self.plan.hall_readers.get(self.config.hall, ())[:1] == (self.config.member,):
             over += quarantine.expired()
         for name in over:
             eventlet.spawn_n(self._change_stop, partial(remove_stop, self.store, name))
@@ -364,7 +372,7 @@
         lost = before.members.keys() - self.roster.members.keys()
         if self.config.member in lost:
             self._write_again("the store was restored", len(lost))
-        self.roster = merge_restored(before, self.roster, self.lost.since)
+        self.roster = merge_restored(before, self.roster, self.lost_daemons.since)
         event("WARNING", "roster recovered", lost=len(lost), marked=len(self.roster.marked))
         eventlet.spawn_after(REWRITE_GRACE_SECONDS, self._drop_unwritten)
 
@@ -400,8 +408,8 @@
         """Take in who the other gateways are."""
         rows = self.roster.members
         links = {name: row.link_mbps for name, row in rows.items()}
-        self.order = Order({name: row.hall for name, row in rows.items()}, links)
-        self.fanout.forget(self.order.halls)
+        self.ranking = Ranking({name: row.hall for name, row in rows.items()}, links)
+        self.fanout.forget(self.ranking.halls)
         self._make_plan(True)
 
     def _make_plan(self, always: bool = False) -> None:
@@ -411,26 +419,26 @@
         """
         assert self.membership is not None
         me = self.config.member
-        plan = make_plan(me, self.order, self.lost.since, self.fanout.without_store(me))
+        plan = plan_readers(me, self.ranking, self.lost_daemons.since, self.fanout.without_store(me))
         if plan == self.plan and not always:
             return
-        if (plan.duty, plan.asks) != (self.plan.duty, self.plan.asks):
-            event("INFO", "readers chosen", duty=plan.duty.value, asks=plan.asks)
+        if (plan.role, plan.sources) != (self.plan.role, self.plan.sources):
+            event("INFO", "readers chosen", duty=plan.role.value, asks=plan.sources)
         self.plan = plan
-        mesh = len(self.order.site) <= FULL_MESH
-        self.totals.assign(self.order.halls, {} if mesh else plan.readers)
+        mesh = len(self.ranking.ranked) <= FULL_MESH
+        self.totals.assign(self.ranking.halls, {} if mesh else plan.hall_readers)
         self.pools.assign(self._pooled())
-        self.fanout.set_sources(plan.asks)
+        self.fanout.set_sources(plan.sources)
         self._keep_streams()
 
     def _keep_streams(self) -> None:
         """Keep streams to those whom this gateway asks, and to those who ask it."""
         assert self.membership is not None
         addresses = {name: row.address for name, row in self.roster.members.items()}
-        if len(self.order.site) <= FULL_MESH:
+        if len(self.ranking.ranked) <= FULL_MESH:
             self.membership.sync(addresses)
             return
-        wanted = streams_of(self.config.member, self.order, self.plan)
+        wanted = needed_streams(self.config.member, self.ranking, self.plan)
         wanted |= self.fanout.pending_polls.keys() & addresses.keys()
         self.membership.sync(addresses, wanted)
 
--- a/bayglade/readers.py
+++ b/bayglade/readers.py
@@ -19,44 +19,44 @@
 from bayglade.clock import now
 from bayglade.ids import HallName, MemberId
 
-READERS = 2
+READER_COUNT = 2
 """Readers of the site, and of each hall: the second one serves while the first is lost."""
-MOST_UNABLE = 3
+MAX_PASSED_OVER = 3
 """How many daemons may be passed over because the store does not answer them. If more report that, the
 store itself is considered unavailable: otherwise every daemon in turn would become a reader and call it."""
-LOST_SECONDS = 1.8
+LOST_AFTER_SECONDS = 1.8
 """A daemon that has been silent for so long is no longer polled; heartbeats arrive every second."""
-FORGIVE_SECONDS = 15.0
+LOST_EXPIRY_SECONDS = 15.0
 """A silent daemon becomes eligible again after this time: it may not know that others expect messages from
 it."""
-RANK_BYTES = 8
+RANK_DIGEST_BYTES = 8
 
 
-class Duty(Enum):
+class Role(Enum):
     """The part that a daemon plays in reading the platform's tables."""
 
-    SITE = "site"
+    SITE_READER = "site"
     """Follows the store."""
 
-    HALL = "hall"
+    HALL_READER = "hall"
     """Polls the readers of the site, and is polled by its hall."""
 
     FOLLOWER = "follower"
     """Polls the readers of its hall."""
 
 
-class Plan(msgspec.Struct, frozen=True):
+class ReaderPlan(msgspec.Struct, frozen=True):
     """Which daemons are readers, in the view of one daemon."""
 
-    duty: Duty
-    asks: tuple[MemberId, ...] = ()
+    role: Role
+    sources: tuple[MemberId, ...] = ()
     """The daemons that this one polls; none when it follows the store."""
 
-    readers: dict[HallName, tuple[MemberId, ...]] = {}
+    hall_readers: dict[HallName, tuple[MemberId, ...]] = {}
     """The readers of each hall."""
 
 
-class Order:
+class Ranking:
     """All daemons, ranked by the order in which they become readers.
 
     :param halls: all daemons with their halls.
@@ -64,30 +64,30 @@
         relaying a table to a hall would delay all other traffic.
     """
 
-    __slots__ = ("by_hall", "halls", "site")
+    __slots__ = ("by_hall", "halls", "ranked")
 
     def __init__(
         self, halls: Mapping[MemberId, HallName], links: Mapping[MemberId, float] | None = None
     ) -> None:
         speeds = links or {}
         self.halls = dict(halls)
-        self.site = sorted(halls, key=lambda member: (-speeds.get(member, 0.0), _rank(member)))
+        self.ranked = sorted(halls, key=lambda member: (-speeds.get(member, 0.0), _rank(member)))
         self.by_hall: dict[HallName, list[MemberId]] = {}
-        for member in self.site:
+        for member in self.ranked:
             self.by_hall.setdefault(halls[member], []).append(member)
 
     def __repr__(self) -> str:
-        return f"<Order of {len(self.site)} daemons>"
+        return f"<Ranking of {len(self.ranked)} daemons>"
 
 
-class Lost:
+class LostDaemons:
     """Daemons that have gone silent, in the view of one daemon; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.since: dict[MemberId, float] = {}
 
     def __repr__(self) -> str:
-        return f"<Lost {sorted(self.since)}>"
+        return f"<LostDaemons {sorted(self.since)}>"
 
     def update(self, silent: Iterable[MemberId], heard: Mapping[MemberId, float]) -> None:
         """Update the set of silent daemons.
@@ -99,48 +99,50 @@
         for member in silent:
             self.since.setdefault(member, at)
         for member, since in list(self.since.items()):
-            if heard.get(member, 0.0) > since or at - since > FORGIVE_SECONDS:
+            if heard.get(member, 0.0) > since or at - since > LOST_EXPIRY_SECONDS:
                 del self.since[member]
 
 
-def make_plan(me: MemberId, order: Order, lost: Collection[MemberId], unable: Collection[MemberId]) -> Plan:
+def plan_readers(
+    me: MemberId, ranking: Ranking, lost: Collection[MemberId], without_store: Collection[MemberId]
+) -> ReaderPlan:
     """Choose the readers.
 
     :param me: this daemon.
-    :param order: the ranking of all daemons.
+    :param ranking: the ranking of all daemons.
     :param lost: daemons that have gone silent.
-    :param unable: daemons that are alive but get no answer from the store.
+    :param without_store: daemons that are alive but get no answer from the store.
     """
-    hall = order.halls.get(me)
+    hall = ranking.halls.get(me)
     if hall is None:
-        return Plan(Duty.SITE)
-    readers = {name: _first(members, lost, unable) for name, members in order.by_hall.items()}
+        return ReaderPlan(Role.SITE_READER)
+    readers = {name: _choose(members, lost, without_store) for name, members in ranking.by_hall.items()}
     if me not in readers[hall]:
-        return Plan(Duty.FOLLOWER, readers[hall], readers)
-    site = _first(order.site, lost, unable)
+        return ReaderPlan(Role.FOLLOWER, readers[hall], readers)
+    site = _choose(ranking.ranked, lost, without_store)
     if me not in site:
-        return Plan(Duty.HALL, site, readers)
-    return Plan(Duty.SITE, (), readers)
+        return ReaderPlan(Role.HALL_READER, site, readers)
+    return ReaderPlan(Role.SITE_READER, (), readers)
 
 
-def streams_of(me: MemberId, order: Order, plan: Plan) -> set[MemberId]:
+def needed_streams(me: MemberId, ranking: Ranking, plan: ReaderPlan) -> set[MemberId]:
     """Return the daemons to which a daemon needs a stream: those it polls, and those that may poll it."""
-    if plan.duty is Duty.FOLLOWER:
-        return set(plan.asks)
-    hall = set(order.by_hall.get(order.halls.get(me, HallName("")), ()))
-    others = {name for names in plan.readers.values() for name in names}
-    return (hall | others | set(plan.asks)) - {me}
+    if plan.role is Role.FOLLOWER:
+        return set(plan.sources)
+    hall = set(ranking.by_hall.get(ranking.halls.get(me, HallName("")), ()))
+    others = {name for names in plan.hall_readers.values() for name in names}
+    return (hall | others | set(plan.sources)) - {me}
 
 
-def _first(
-    members: Sequence[MemberId], lost: Collection[MemberId], unable: Collection[MemberId]
+def _choose(
+    members: Sequence[MemberId], lost: Collection[MemberId], without_store: Collection[MemberId]
 ) -> tuple[MemberId, ...]:
     live = [member for member in members if member not in lost]
-    able = [member for member in live[: READERS + MOST_UNABLE] if member not in unable]
-    return tuple((able if len(able) >= READERS else live)[:READERS])
+    able = [member for member in live[: READER_COUNT + MAX_PASSED_OVER] if member not in without_store]
+    return tuple((able if len(able) >= READER_COUNT else live)[:READER_COUNT])
 
 
 def _rank(member: MemberId) -> bytes:
     # Ranked by hash rather than by name: daemons of one rack or of one rolling restart often have
     # consecutive names.
-    return hashlib.blake2b(member.encode(), digest_size=RANK_BYTES).digest()
+    return hashlib.blake2b(member.encode(), digest_size=RANK_DIGEST_BYTES).digest()
--- a/benches/at_rest.py
+++ b/benches/at_rest.py
@@ -11,7 +11,7 @@
 import msgspec
 import psutil
 
-from bayglade.readers import Order, make_plan
+from bayglade.readers import Ranking, plan_readers
 from standins.users import UsersSite
 
 SETTLE_SECONDS = 8.0
@@ -47,10 +47,10 @@
         calls = sum(site.store.calls.values()) - calls
     print(f"{daemons} daemons in {halls} halls, {seconds} s: {calls / seconds:.1f} calls a second")
     print("duty       daemons  wake-ups/s  CPU %")
-    order = Order({daemon.settings["member"]: daemon.settings["hall"] for daemon in started})
+    order = Ranking({daemon.settings["member"]: daemon.settings["hall"] for daemon in started})
     rows = defaultdict(list)
     for daemon, old, new in zip(started, before, after, strict=True):
-        duty = make_plan(daemon.settings["member"], order, (), ()).duty
+        duty = plan_readers(daemon.settings["member"], order, (), ()).role
         rows[duty.value].append(
             ((new.wakeups - old.wakeups) / seconds, 100 * (new.cpu_seconds - old.cpu_seconds) / seconds)
         )
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -21,7 +21,14 @@
 from bayglade.feeds import Feed, link_feeds
 from bayglade.freshness import answer_timeout, batch_delay, poll_wait
 from bayglade.ids import UNKNOWN_EPOCH, HallName, MemberId, StoreEpoch
-from bayglade.readers import LOST_SECONDS, Lost, Order, Plan, make_plan, streams_of
+from bayglade.readers import (
+    LOST_AFTER_SECONDS,
+    LostDaemons,
+    Ranking,
+    ReaderPlan,
+    needed_streams,
+    plan_readers,
+)
 from bayglade.rows import Changes, Position, encode_value
 from tests.virtual_time import now
 
@@ -149,8 +156,8 @@
         self.fanout = Fanout(self.feeds, self.feeds["document"], self.push, "x:1")
         self.fanout.set_sources((name,))
         link_feeds(self.feeds.values())
-        self.lost = Lost()
-        self.plan = Plan(readers.Duty.SITE)
+        self.lost = LostDaemons()
+        self.plan = ReaderPlan(readers.Role.SITE_READER)
         self.heard: dict[MemberId, float] = {}
         self.streams: dict[MemberId, float] = {}
         self.watching: eventlet.greenthread.GreenThread | None = None
@@ -203,15 +210,15 @@
             eventlet.sleep(WATCH_SECONDS)
 
     def look(self) -> None:
-        oldest = now() - LOST_SECONDS
+        oldest = now() - LOST_AFTER_SECONDS
         silent = [m for m, since in self.streams.items() if max(since, self.heard.get(m, 0.0)) < oldest]
         self.lost.update(silent, self.heard)
         unable = self.fanout.without_store(self.name)
-        plan = make_plan(self.name, self.fleet.order, self.lost.since, unable)
+        plan = plan_readers(self.name, self.fleet.ranking, self.lost.since, unable)
         if plan != self.plan:
             self.plan = plan
-            self.fanout.set_sources(plan.asks)
-        wanted = streams_of(self.name, self.fleet.order, plan) | self.fanout.pending_polls.keys()
+            self.fanout.set_sources(plan.sources)
+        wanted = needed_streams(self.name, self.fleet.ranking, plan) | self.fanout.pending_polls.keys()
         # In order, so that a seed plays the same each time.
         self.streams = {member: self.streams.get(member, now()) for member in sorted(wanted)}
         self.fanout.poll_sources()
@@ -234,8 +241,8 @@
         """Daemons that say and hear nothing, though they seem to run."""
 
         names = {MemberId(f"front-{n}"): HallName(f"h{n % halls}") for n in range(daemons)}
-        self.order = Order(names)
-        self.daemons = {name: Daemon(name, self) for name in self.order.site}
+        self.ranking = Ranking(names)
+        self.daemons = {name: Daemon(name, self) for name in self.ranking.ranked}
 
     def start(self) -> None:
         for daemon in self.daemons.values():
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -23,7 +23,7 @@
 from bayglade.feeds import Feed, link_feeds
 from bayglade.freshness import poll_wait
 from bayglade.ids import UNKNOWN_EPOCH, MemberId, StoreEpoch
-from bayglade.readers import READERS
+from bayglade.readers import READER_COUNT
 from bayglade.rows import Changes, Position, encode_value
 from tests import fleets
 from tests.fleets import SILENCE, Fleet
@@ -122,7 +122,7 @@
 
 
 def store_turns_away(fleet: Fleet, after: float, seconds: float, places: slice) -> Iterator[float]:
-    turned = set(fleet.order.site[places])
+    turned = set(fleet.ranking.ranked[places])
     fleet.store.refuses = lambda member, table: after if member in turned else None
     yield seconds
     fleet.store.refuses = lambda member, table: None
@@ -228,7 +228,7 @@
     fleet = Fleet(23, 5, seed)
     fleet.start()
     eventlet.sleep(FAULT_AT + fleet.rng.random())
-    fleet.mute = {fleet.order.site[place] for place in places}
+    fleet.mute = {fleet.ranking.ranked[place] for place in places}
     eventlet.sleep(leaves_after)
     left = fleet.leave()
     while fleet.unaware():
@@ -251,9 +251,9 @@
 
 def refuse_readers(fleet: Fleet, table: str) -> list[MemberId]:
     """Have the store refuse one table to the readers of the site; return the other daemons."""
-    turned = set(fleet.order.site[:READERS])
+    turned = set(fleet.ranking.ranked[:READER_COUNT])
     fleet.store.refuses = lambda member, asked: 0.01 if member in turned and asked == table else None
-    return fleet.order.site[READERS:]
+    return fleet.ranking.ranked[READER_COUNT:]
 
 
 def known_by_others(seed: int) -> float:
@@ -307,5 +307,5 @@
 
     made = run_virtually(calls)
     # Two readers follow three tables; each call for two of these waits 0.8 s.
-    assert len({member for member, _ in made}) == READERS
-    assert made.total() <= READERS * (2 * 20.0 / poll_wait(BOUND) + 4)
+    assert len({member for member, _ in made}) == READER_COUNT
+    assert made.total() <= READER_COUNT * (2 * 20.0 / poll_wait(BOUND) + 4)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -11,13 +11,13 @@
 from bayglade import fanout, feeds, readers
 from bayglade.ids import HallName, MemberId
 from bayglade.readers import (
-    MOST_UNABLE,
-    READERS,
-    Duty,
-    Lost,
-    Order,
-    make_plan,
-    streams_of,
+    MAX_PASSED_OVER,
+    READER_COUNT,
+    LostDaemons,
+    Ranking,
+    Role,
+    needed_streams,
+    plan_readers,
 )
 from tests import fleets
 from tests.fleets import ROUND_TRIP, Fleet
@@ -35,12 +35,12 @@
 
 @pytest.mark.parametrize(("daemons", "halls"), [(1, 1), (3, 3), (7, 3), (23, 5), (195, 5), (440, 11)])
 def test_few_follow_the_store_whatever_the_number_of_daemons(daemons: int, halls: int) -> None:
-    order = Order(fleet(daemons, halls))
-    plans = {name: make_plan(name, order, (), ()) for name in order.site}
-    duties = [plan.duty for plan in plans.values()]
-    assert duties.count(Duty.SITE) == min(READERS, daemons)
-    assert daemons - duties.count(Duty.FOLLOWER) <= READERS * halls
-    assert all(len(plan.asks) <= READERS for plan in plans.values())
+    order = Ranking(fleet(daemons, halls))
+    plans = {name: plan_readers(name, order, (), ()) for name in order.ranked}
+    duties = [plan.role for plan in plans.values()]
+    assert duties.count(Role.SITE_READER) == min(READER_COUNT, daemons)
+    assert daemons - duties.count(Role.FOLLOWER) <= READER_COUNT * halls
+    assert all(len(plan.sources) <= READER_COUNT for plan in plans.values())
 
 
 @given(
@@ -53,42 +53,42 @@
 def test_questions_never_run_in_a_circle(
     daemons: int, halls: int, lost: set[int], unable: set[int]
 ) -> None:
-    order = Order(fleet(daemons, halls))
-    place = {name: n for n, name in enumerate(order.site)}
+    order = Ranking(fleet(daemons, halls))
+    place = {name: n for n, name in enumerate(order.ranked)}
     gone = {MemberId(f"front-{n}") for n in lost}
     refused = {MemberId(f"front-{n}") for n in unable}
-    for name in order.site:
-        plan = make_plan(name, order, gone - {name}, refused - {name})
-        assert all(place[asked] < place[name] for asked in plan.asks)
-        assert not gone & set(plan.asks)
+    for name in order.ranked:
+        plan = plan_readers(name, order, gone - {name}, refused - {name})
+        assert all(place[asked] < place[name] for asked in plan.sources)
+        assert not gone & set(plan.sources)
 
 
 def test_streams_are_mutual_while_all_see_the_same() -> None:
-    order = Order(fleet(60, 4))
-    plans = {name: make_plan(name, order, (), ()) for name in order.site}
-    wanted = {name: streams_of(name, order, plans[name]) for name in order.site}
+    order = Ranking(fleet(60, 4))
+    plans = {name: plan_readers(name, order, (), ()) for name in order.ranked}
+    wanted = {name: needed_streams(name, order, plans[name]) for name in order.ranked}
     assert all(name in wanted[other] for name in wanted for other in wanted[name])
     most = max(len(streams) for streams in wanted.values())
-    assert most <= 60 / 4 + READERS * 4
+    assert most <= 60 / 4 + READER_COUNT * 4
 
 
 def test_daemons_that_the_store_turns_away_are_passed_over() -> None:
-    order = Order(fleet(30, 3))
-    first = order.site[0]
-    plan = make_plan(order.site[20], order, (), {first})
-    assert all(first not in names for names in plan.readers.values())
+    order = Ranking(fleet(30, 3))
+    first = order.ranked[0]
+    plan = plan_readers(order.ranked[20], order, (), {first})
+    assert all(first not in names for names in plan.hall_readers.values())
 
 
 def test_when_many_are_without_the_store_it_is_lost_and_nobody_takes_turns() -> None:
-    order = Order(fleet(30, 1))
-    unable = order.site[: READERS + MOST_UNABLE]
-    assert make_plan(order.site[-1], order, (), unable).asks == tuple(order.site[:READERS])
+    order = Ranking(fleet(30, 1))
+    unable = order.ranked[: READER_COUNT + MAX_PASSED_OVER]
+    assert plan_readers(order.ranked[-1], order, (), unable).sources == tuple(order.ranked[:READER_COUNT])
 
 
 def test_a_daemon_that_fell_silent_is_asked_again_once_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(readers, "now", lambda: at)
-    lost, member = Lost(), MemberId("a")
+    lost, member = LostDaemons(), MemberId("a")
     lost.update([member], {member: 90.0})
     assert member in lost.since
     at += 1.0
@@ -152,8 +152,8 @@
 def test_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         assert calls_within(fleet, 10.0) <= 10.0 * CALLS_A_SECOND
-        duties = Counter(daemon.plan.duty for daemon in fleet.live())
-        assert duties[Duty.SITE] == READERS
+        duties = Counter(daemon.plan.role for daemon in fleet.live())
+        assert duties[Role.SITE_READER] == READER_COUNT
 
     in_fleet(monkeypatch, scenario)
 
@@ -163,11 +163,13 @@
     places: tuple[int, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def scenario(fleet: Fleet) -> None:
-        halls = fleet.daemons[fleet.order.site[-1]].plan.readers
-        fleet.mute = {fleet.order.site[place] for place in places}
+        halls = fleet.daemons[fleet.ranking.ranked[-1]].plan.hall_readers
+        fleet.mute = {fleet.ranking.ranked[place] for place in places}
         # Both readers lost at once, of the site or of a hall, leave those who ask them without word for
         # as long as it takes to notice.
-        without = sum(len(fleet.order.by_hall[h]) for h, names in halls.items() if fleet.mute >= set(names))
+        without = sum(
+            len(fleet.ranking.by_hall[h]) for h, names in halls.items() if fleet.mute >= set(names)
+        )
         if {0, 1} <= set(places):
             without = DAEMONS
         assert calls_within(fleet, 8.0) <= 8.0 * CALLS_A_SECOND + QUICK_TABLES * without
@@ -177,17 +179,17 @@
 
 def test_a_hall_that_loses_both_readers_has_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        hall = fleet.order.by_hall[HallName("h2")]
-        fleet.mute = set(hall[:READERS])
+        hall = fleet.ranking.by_hall[HallName("h2")]
+        fleet.mute = set(hall[:READER_COUNT])
         assert_fresh(fleet, 8.0)
-        assert fleet.daemons[hall[-1]].plan.asks == tuple(hall[READERS : 2 * READERS])
+        assert fleet.daemons[hall[-1]].plan.sources == tuple(hall[READER_COUNT : 2 * READER_COUNT])
 
     in_fleet(monkeypatch, scenario)
 
 
 def test_daemons_that_the_store_turns_away_hear_from_others(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        refuse(fleet, fleet.order.site[:1] + fleet.order.site[10:80])
+        refuse(fleet, fleet.ranking.ranked[:1] + fleet.ranking.ranked[10:80])
         assert_fresh(fleet, 10.0)
         refuse(fleet, ())
         assert_fresh(fleet, 5.0)
@@ -199,19 +201,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(fleet: Fleet) -> None:
-        refuse(fleet, fleet.order.site[:READERS])
-        assert calls_within(fleet, 10.0) <= 10.0 * (2 * CALLS_A_SECOND + READERS / feeds.MAX_RETRY_DELAY)
+        refuse(fleet, fleet.ranking.ranked[:READER_COUNT])
+        assert calls_within(fleet, 10.0) <= 10.0 * (
+            2 * CALLS_A_SECOND + READER_COUNT / feeds.MAX_RETRY_DELAY
+        )
 
     in_fleet(monkeypatch, scenario)
 
 
 def test_a_lost_store_is_not_called_by_everybody_all_the_time(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        refuse(fleet, fleet.order.site)
+        refuse(fleet, fleet.ranking.ranked)
         before = fleet.store.calls.copy()
         eventlet.sleep(10.0)
         made = fleet.store.calls - before
-        often = (READERS + MOST_UNABLE) / feeds.MAX_RETRY_DELAY
+        often = (READER_COUNT + MAX_PASSED_OVER) / feeds.MAX_RETRY_DELAY
         seldom = DAEMONS / fanout.FOLLOWER_MAX_RETRY_DELAY
         for table in fleets.TABLES:
             calls = sum(count for (_, asked), count in made.items() if asked == table)
@@ -225,7 +229,7 @@
 
 def test_a_rolling_restart_leaves_nobody_without_word(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        for name in fleet.order.site[:30]:
+        for name in fleet.ranking.ranked[:30]:
             fleet.mute = {name}
             eventlet.sleep(1.0)
             fleet.restart(name)
@@ -238,6 +242,6 @@
 def test_daemons_with_quick_links_read_for_the_others() -> None:
     halls = fleet(40, 2)
     quick = {name for n, name in enumerate(halls) if n % 5 == 0}
-    order = Order(halls, {name: 100.0 if name in quick else 10.0 for name in halls})
-    plan = make_plan(order.site[-1], order, (), ())
-    assert {name for names in plan.readers.values() for name in names} <= quick
+    order = Ranking(halls, {name: 100.0 if name in quick else 10.0 for name in halls})
+    plan = plan_readers(order.ranked[-1], order, (), ())
+    assert {name for names in plan.hall_readers.values() for name in names} <= quick
--- a/tests/test_restored_fleets.py
+++ b/tests/test_restored_fleets.py
@@ -77,11 +77,11 @@
         history.note()
         yield seconds
     elif kind == "readers silent":
-        fleet.mute = set(fleet.order.site[: amount % 3])
+        fleet.mute = set(fleet.ranking.ranked[: amount % 3])
         yield seconds
         fleet.mute = set()
     elif kind == "some refused":
-        refused = set(fleet.order.site[amount % 4 : amount])
+        refused = set(fleet.ranking.ranked[amount % 4 : amount])
         store.refuses = lambda member, table: SILENCE if member in refused else None
         yield seconds
         store.refuses = lambda member, table: None
--- a/tests/test_totals.py
+++ b/tests/test_totals.py
@@ -5,7 +5,7 @@
 from bayglade import totals
 from bayglade.entries.wire import Heartbeat, ServerLoad
 from bayglade.ids import BackendId, HallName, MemberId, Revision, ServerKey
-from bayglade.readers import Order, make_plan, streams_of
+from bayglade.readers import Ranking, needed_streams, plan_readers
 from bayglade.totals import FRESH_SECONDS, UNHEARD_SECONDS, Totals
 
 HALLS = {MemberId(f"{hall}{n:02}"): HallName(hall) for hall in "ab" for n in range(10)}
@@ -23,11 +23,11 @@
     return {load.key: load for load in loads(**counts)}
 
 
-PLANS = {name: make_plan(name, Order(HALLS), (), ()) for name in HALLS}
+PLANS = {name: plan_readers(name, Ranking(HALLS), (), ()) for name in HALLS}
 
 
 def readers(hall: str) -> tuple[MemberId, ...]:
-    return next(iter(PLANS.values())).readers[HallName(hall)]
+    return next(iter(PLANS.values())).hall_readers[HallName(hall)]
 
 
 def assigned() -> dict[MemberId, Totals]:
@@ -35,18 +35,18 @@
     everybody = {name: Totals(name) for name in HALLS}
     for name, each in everybody.items():
         each.started_at -= UNHEARD_SECONDS
-        each.assign(HALLS, PLANS[name].readers)
+        each.assign(HALLS, PLANS[name].hall_readers)
     return everybody
 
 
 def rounds(everybody: dict[MemberId, Totals], own: dict[MemberId, list[ServerLoad]], count: int) -> None:
     """Let daemons beat to whom they have streams."""
-    order = Order(HALLS)
+    order = Ranking(HALLS)
     for _ in range(count):
         for name, each in everybody.items():
             each.add_up(own[name])
         for name, each in everybody.items():
-            for other in streams_of(name, order, PLANS[name]) & everybody.keys():
+            for other in needed_streams(name, order, PLANS[name]) & everybody.keys():
                 sums = each.for_member(other)
                 message = beat(loads=sums.own, hall_loads=sums.hall, all_loads=sums.everywhere)
                 everybody[other].hear(name, message)
@@ -94,7 +94,7 @@
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
     each = Totals(follower)
     assert each.elsewhere(loads(h=2)) == {}
-    each.assign(HALLS, PLANS[follower].readers)
+    each.assign(HALLS, PLANS[follower].hall_readers)
     assert each.elsewhere(loads(h=2)) == by_server({"h": 18})
     at += UNHEARD_SECONDS
     assert each.elsewhere(loads(h=2)) == {}
