--- a/bayglade/lost_rows.py
+++ b/bayglade/lost_rows.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from bayglade.ids import MemberId
-from bayglade.roster import MemberRow, Roster, read_roster
+from bayglade.roster import MemberRow, Roster, apply_rows
 
 REWRITES_PER_SECOND = 100.0
 """Rate at which all daemons together rewrite lost rows, in rows a second: servers and operators write to
@@ -25,11 +25,11 @@
     :param stored: the roster in the restored store.
     :param lost: daemons that have gone silent, as far as known here.
     """
-    taken_out = before.marked & stored.members.keys()
+    taken_out = before.marked_gone & stored.members.keys()
     members = {name: row for name, row in stored.members.items() if name not in taken_out}
-    missing = before.members.keys() - stored.members.keys() - stored.marked
+    missing = before.members.keys() - stored.members.keys() - stored.marked_gone
     members |= {name: before.members[name] for name in missing if name not in lost}
-    return msgspec.structs.replace(stored, members=members, marked=stored.marked | taken_out)
+    return msgspec.structs.replace(stored, members=members, marked_gone=stored.marked_gone | taken_out)
 
 
 def stored_members(rows: Mapping[str, tuple[object, msgspec.Raw | None]]) -> dict[MemberId, MemberRow]:
@@ -37,7 +37,7 @@
 
     :param rows: rows by key, each with the position it came with.
     """
-    return read_roster({key: value for key, (_, value) in rows.items()}, Roster()).members
+    return apply_rows({key: value for key, (_, value) in rows.items()}, Roster()).members
 
 
 def rewrite_delay(lost: int, rng: random.Random) -> float:
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -44,7 +44,7 @@
 )
 from bayglade.relay import Peers
 from bayglade.retries import BUDGET_FLOOR, RetryBudget
-from bayglade.roster import MemberRow, Roster, join, mark_gone, read_roster
+from bayglade.roster import MemberRow, Roster, apply_rows, join, mark_gone
 from bayglade.rows import Changes, Position, Table, was_restored
 from bayglade.servers import Server
 from bayglade.spreading import Spreading
@@ -242,7 +242,9 @@
         if now() < self.clean_at or readers[:1] != (self.config.member,):
             return
         self.clean_at = now() + CLEAN_SECONDS
-        if self.roster.marked and (back := self.roster.marked & stored_members(self.feed.rows).keys()):
+        if self.roster.marked_gone and (
+            back := self.roster.marked_gone & stored_members(self.feed.rows).keys()
+        ):
             # A restored store has lost that these are gone.
             eventlet.spawn_n(self._mark_gone, min(back))
             return
@@ -357,7 +359,7 @@
         restored = whole and was_restored(self.roster_position, changes.position)
         self.roster_position = changes.position
         self.peers.quarantine.take_stored(read_stops(changes.rows), whole, restored)
-        before, self.roster = self.roster, read_roster(changes.rows, Roster() if whole else self.roster)
+        before, self.roster = self.roster, apply_rows(changes.rows, Roster() if whole else self.roster)
         if self.membership is None:
             return
         if restored:
@@ -373,7 +375,7 @@
         if self.config.member in lost:
             self._write_again("the store was restored", len(lost))
         self.roster = merge_restored(before, self.roster, self.lost_daemons.since)
-        event("WARNING", "roster recovered", lost=len(lost), marked=len(self.roster.marked))
+        event("WARNING", "roster recovered", lost=len(lost), marked=len(self.roster.marked_gone))
         eventlet.spawn_after(REWRITE_GRACE_SECONDS, self._drop_unwritten)
 
     def _drop_unwritten(self) -> None:
--- a/bayglade/roster.py
+++ b/bayglade/roster.py
@@ -23,9 +23,9 @@
 STOP_PREFIX = MEMBER_PREFIX + "#stopped/"
 """Prefix of the keys of quarantined requests, see :mod:`bayglade.stops`."""
 SECRET_BYTES = 32
-RETRY_SECONDS = 1.0
+RETRY_DELAY = 1.0
 """Delay after a failed call; only the sharing of state between daemons waits for it."""
-SECRET_TRIES = 3
+SECRET_READ_ATTEMPTS = 3
 """Number of reads after which a malformed secret is replaced: its writer may still correct it."""
 
 
@@ -47,10 +47,10 @@
 
     members: dict[MemberId, MemberRow] = {}
     secret: bytes | None = None
-    marked: frozenset[MemberId] = frozenset()
+    marked_gone: frozenset[MemberId] = frozenset()
     """Daemons whose rows are marked as gone."""
 
-    strange: frozenset[str] = frozenset()
+    malformed: frozenset[str] = frozenset()
     """Keys of malformed rows, as another writer may leave them."""
 
 
@@ -67,16 +67,16 @@
     tries = 0
     while True:
         try:
-            known = read_roster(store.snapshot(table).rows, Roster())
+            known = apply_rows(store.snapshot(table).rows, Roster())
             tries += 1
-            if SECRET_KEY in known.strange and tries < SECRET_TRIES:
-                eventlet.sleep(RETRY_SECONDS)
+            if SECRET_KEY in known.malformed and tries < SECRET_READ_ATTEMPTS:
+                eventlet.sleep(RETRY_DELAY)
                 continue
             if (joined := _write_missing(store, member, row, known, secret)) is not None:
                 return joined
         except (PlatformUnavailable, HistoryGone) as error:
             event("INFO", "roster not written", error=repr(error))
-            eventlet.sleep(RETRY_SECONDS)
+            eventlet.sleep(RETRY_DELAY)
 
 
 def mark_gone(store: RowStore, member: MemberId) -> None:
@@ -92,7 +92,7 @@
     found = store.read([key]).get(key)
     if found is None:
         return
-    row = read_roster({key: found.value}, Roster()).members.get(member)
+    row = apply_rows({key: found.value}, Roster()).members.get(member)
     if row is None:
         return
     gone = Write(key, encode_value(msgspec.structs.replace(row, gone=True)))
@@ -111,13 +111,13 @@
     conditions, writes, secret = [], [], in_use or known.secret
     if known.members.get(member) != row:
         key = MEMBER_PREFIX + member
-        written = member in known.members or member in known.marked or key in known.strange
+        written = member in known.members or member in known.marked_gone or key in known.malformed
         conditions.append(_condition(store, key) if written else Condition(key, ABSENT))
         writes.append(Write(key, encode_value(row)))
     if secret is None or secret != known.secret:
         text = secrets.token_hex(SECRET_BYTES) if secret is None else secret.decode()
         secret = text.encode()
-        written = SECRET_KEY in known.strange or known.secret is not None
+        written = SECRET_KEY in known.malformed or known.secret is not None
         conditions.append(_condition(store, SECRET_KEY) if written else Condition(SECRET_KEY, ABSENT))
         writes.append(Write(SECRET_KEY, encode_value(text)))
     if writes and not store.transact(Transaction(conditions, writes)).committed:
@@ -130,19 +130,19 @@
     return found.condition(key) if found is not None else Condition(key, ABSENT)
 
 
-def read_roster(rows: Mapping[str, msgspec.Raw | None], before: Roster) -> Roster:
+def apply_rows(rows: Mapping[str, msgspec.Raw | None], before: Roster) -> Roster:
     """Return the roster with changed rows of the table applied.
 
     :param rows: rows by key; None for removed rows.
     :param before: the roster before.
     """
-    members, secret, marked = dict(before.members), before.secret, set(before.marked)
-    strange = set(before.strange)
+    members, secret, marked = dict(before.members), before.secret, set(before.marked_gone)
+    malformed = set(before.malformed)
     for key, value in rows.items():
         if key.startswith(STOP_PREFIX):
             continue
         member = MemberId(key.removeprefix(MEMBER_PREFIX))
-        strange.discard(key)
+        malformed.discard(key)
         try:
             if key == SECRET_KEY:
                 secret = secret if value is None else msgspec.json.decode(value, type=str).encode()
@@ -156,6 +156,6 @@
                 parse_address(row.address)
                 members[member] = row
         except (msgspec.DecodeError, RecursionError, InvalidSettings) as error:
-            strange.add(key)
+            malformed.add(key)
             event("ERROR", "member row ignored", peer=key, error=str(error))
-    return Roster(members, secret, frozenset(marked), frozenset(strange))
+    return Roster(members, secret, frozenset(marked), frozenset(malformed))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -15,7 +15,7 @@
 from bayglade.ids import BackendId, MemberId
 from bayglade.leases import Lease
 from bayglade.platform import decode_document, decode_report, decode_server
-from bayglade.roster import MEMBER_PREFIX, SECRET_KEY, MemberRow, Roster, join, read_roster
+from bayglade.roster import MEMBER_PREFIX, SECRET_KEY, MemberRow, Roster, apply_rows, join
 from bayglade.rows import Changes, Condition, Row, Transaction, TransactionResult, encode_value
 from standins.users import configuration
 from tests.server_rows import facts_of, packed, server_row, without
@@ -150,7 +150,7 @@
         with pytest.raises(InvalidSettings):
             decode()
     decode_report(data)
-    read_roster({MEMBER_PREFIX + "d": msgspec.Raw(data), SECRET_KEY: msgspec.Raw(data)}, Roster())
+    apply_rows({MEMBER_PREFIX + "d": msgspec.Raw(data), SECRET_KEY: msgspec.Raw(data)}, Roster())
 
 
 @seed(2)
@@ -242,4 +242,4 @@
     rows = Rows(**{SECRET_KEY.replace("/", "__"): b"17"})
     joined = join(rows, "members", MemberId("d"), MemberRow("10.0.0.1:7000", facts_of().hall))
     assert joined.secret is not None
-    assert read_roster(rows.snapshot("members").rows, Roster()).secret == joined.secret
+    assert apply_rows(rows.snapshot("members").rows, Roster()).secret == joined.secret
--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -30,15 +30,17 @@
 
 
 def test_a_daemon_that_was_taken_out_since_the_copy_stays_out() -> None:
-    before = Roster({A: ROW}, b"s", marked=frozenset({B}))
+    before = Roster({A: ROW}, b"s", marked_gone=frozenset({B}))
     after = merge_restored(before, Roster({A: ROW, B: ROW}, b"s"), {})
     assert after.members == {A: ROW}
-    assert after.marked == {B}
+    assert after.marked_gone == {B}
 
 
 def test_a_daemon_that_the_copy_says_is_gone_stays_so() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
-    assert merge_restored(before, Roster({A: ROW}, b"s", marked=frozenset({B})), {}).members == {A: ROW}
+    assert merge_restored(before, Roster({A: ROW}, b"s", marked_gone=frozenset({B})), {}).members == {
+        A: ROW
+    }
 
 
 def test_rows_are_written_again_at_a_bounded_rate() -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,7 +25,7 @@
     WRITE_SECONDS,
     Quarantine,
 )
-from bayglade.roster import Roster, read_roster
+from bayglade.roster import Roster, apply_rows
 from bayglade.rows import Row
 from tests.test_roster import Rows
 
@@ -404,7 +404,7 @@
     again.take_stored(stops.read_stops(stop_rows(store)), True)
     assert again.holds(asked)
     assert again.unwritten() == []
-    assert read_roster(stop_rows(store), Roster()).members == {}
+    assert apply_rows(stop_rows(store), Roster()).members == {}
 
 
 def test_one_daemon_writes_and_others_only_if_it_did_not(clock: Clock) -> None:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -6,7 +6,7 @@
 from bayglade import roster
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
 from bayglade.ids import HallName, MemberId
-from bayglade.roster import MemberRow, Roster, join, mark_gone, read_roster
+from bayglade.roster import MemberRow, Roster, apply_rows, join, mark_gone
 from bayglade.rows import Changes, Row, Transaction, TransactionResult
 
 TABLE = "members"
@@ -59,7 +59,7 @@
 
 
 def members(table: Rows) -> Roster:
-    return read_roster({key: row.value for key, row in table.rows.items()}, Roster())
+    return apply_rows({key: row.value for key, row in table.rows.items()}, Roster())
 
 
 def test_a_first_start_writes_the_row_and_the_secret() -> None:
@@ -142,6 +142,6 @@
         "members/c": msgspec.Raw(b'{"address":"x:1","hall":"h"}'),
         "members/d": msgspec.Raw(b"{"),
     }
-    after = read_roster(rows, before)
+    after = apply_rows(rows, before)
     assert after.members.keys() == {ME, "c"}
     assert after.secret == b"s"
