--- a/bayglade/beliefs.py
+++ b/bayglade/beliefs.py
@@ -1,4 +1,4 @@
-"""Beliefs: what a gateway takes for true at a moment, for people on call.
+"""Beliefs: a snapshot of what one gateway assumes about the system, for debugging by operators.
 
 Served as JSON on the metrics address, and shown by ``bayglade beliefs``.
 """
@@ -25,7 +25,7 @@
 
 
 class ServerBelief(msgspec.Struct, frozen=True):
-    """A backend server as the daemon sees it."""
+    """A backend server in the view of this daemon."""
 
     backend: BackendId
     service: ServiceName
@@ -36,59 +36,59 @@
     in_flight: int
     pace: float
     cached: float
-    """What own requests have in its KV cache, in tokens times layers."""
+    """Size of the KV cache entries of own requests, in tokens times layers."""
 
     rest_seconds: float | None
-    """For how long it still wants nothing of this daemon, by its own word."""
+    """Seconds for which it still accepts nothing from this daemon, as it announced; None if it does."""
 
     rate_limit: float | None
-    """Requests a second that it takes from all daemons together, by its own word."""
+    """Requests a second that it accepts from all daemons together, as it announced."""
 
     rate_contenders: int | None
-    """Daemons that divide it among them, as its keeper said last."""
+    """Number of daemons that share this limit, as its keeper last reported."""
 
 
 class PathBelief(msgspec.Struct, frozen=True):
-    """The path that a usual request would take in a hall."""
+    """The path that a typical request would take in a hall."""
 
     hall: HallName
     cost_ms: float
     use: float
-    """Part of the KV cache of its fullest stage that is taken."""
+    """Fraction of the KV cache in use on its fullest stage."""
 
     route: str
 
 
 class TableBelief(msgspec.Struct, frozen=True):
-    """How far one of the platform's tables is known."""
+    """The state of the local copy of one of the platform's tables."""
 
     table: str
     epoch: StoreEpoch | None
-    """Nothing when the store does not name its epochs, or the table is not known."""
+    """None when the store does not name its epochs, or the table is not known."""
 
     version: int | None
     age: float
-    """Seconds since it was surely the newest."""
+    """Seconds since the copy was known to be current."""
 
     dropped: int
-    """Updates that were not taken in since the daemon started."""
+    """Updates rejected since the daemon started."""
 
 
 class StopBelief(msgspec.Struct, frozen=True):
-    """A request that the daemon holds back."""
+    """A request that the daemon holds in quarantine."""
 
     content: Fingerprint
     ends: list[BackendId]
-    """Servers that ended under it."""
+    """Servers that crashed while running it."""
 
     seconds: float
-    """For how long it is held back already."""
+    """Seconds since the quarantine began."""
 
     in_store: bool
 
 
 class Beliefs(msgspec.Struct, frozen=True, kw_only=True):
-    """All that one daemon takes for true; ages are in seconds."""
+    """The whole snapshot of one daemon; ages are in seconds."""
 
     member: MemberId
     ready: bool
@@ -102,10 +102,11 @@
     tables: list[TableBelief]
     lease: str
     duty: str
-    """Whether it follows the store, asks for its hall, or asks the readers of its hall."""
+    """Its role: it follows the store, polls the readers of the site for its hall, or polls those of its
+    hall."""
 
     asks: list[MemberId]
-    """The gateways from which it has its tables."""
+    """The gateways from which it polls its tables."""
 
     members: list[MemberId]
     in_flight: int
@@ -124,7 +125,7 @@
 
 
 def table_beliefs(feeds: Iterable[Feed]) -> list[TableBelief]:
-    """Describe how far tables are known.
+    """Describe the local copies of tables.
 
     :param feeds: the feeds of the tables.
     """
@@ -143,9 +144,9 @@
 
 
 def stop_beliefs(quarantine: Quarantine) -> list[StopBelief]:
-    """Describe the requests that are held back.
+    """Describe the quarantined requests.
 
-    :param quarantine: what the daemon knows of them.
+    :param quarantine: the daemon's quarantine.
     """
     return [
         StopBelief(
@@ -159,7 +160,7 @@
 
 
 def path_beliefs(paths: Sequence[Path]) -> list[PathBelief]:
-    """Describe paths.
+    """Describe the paths of a typical request.
 
     :param paths: the path of each hall.
     """
--- a/bayglade/directory.py
+++ b/bayglade/directory.py
@@ -1,4 +1,4 @@
-"""Who a key belongs to: client accounts and operators of the settings in force."""
+"""Lookup of API keys: the client accounts and operators of the settings in force."""
 
 import hashlib
 
@@ -10,21 +10,21 @@
 
 
 class Holder(msgspec.Struct, frozen=True):
-    """The holder of a caller's key."""
+    """The client account that a key belongs to, and its group."""
 
     account: AccountName
     group: GroupPath
 
 
 class OperatorHolder(msgspec.Struct, frozen=True):
-    """The holder of an operator's key."""
+    """The operator that a key belongs to."""
 
     name: str
     subtree: GroupPath
 
 
 class Directory:
-    """Keys of one revision, by their SHA-256."""
+    """The keys of one revision, by their SHA-256."""
 
     def __init__(self, tree: Tree) -> None:
         self.accounts = {a.key_sha256: Holder(n, a.group) for n, a in tree.accounts.items()}
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -1,9 +1,9 @@
-"""Peering: what gateways tell each other, and what a gateway does with it.
+"""Peering: the messages that gateways exchange, and how a gateway acts on them.
 
-Addresses come from the roster; the streams are those of :mod:`bayglade.entries`.
-Few gateways all have streams to each other; of many, each has streams to those it
-asks for the platform's tables and to those that ask it (:mod:`bayglade.readers`).
-Serving waits for none of this: a gateway that hears nobody goes by its own counts.
+Addresses come from the roster; the streams are those of :mod:`bayglade.entries`. In a small site
+all gateways have streams to each other. In a large one, each has streams to those it polls for the
+platform's tables and to those that poll it (:mod:`bayglade.readers`). Serving does not depend on
+any of this: a gateway that hears from nobody uses only its own counts.
 """
 
 import random
@@ -53,28 +53,29 @@
 from bayglade.usage import Usage
 
 ROSTER_BOUND = 50.0
-"""Seconds within which a new daemon must be known to all: heartbeats and questions tell of it sooner."""
+"""Seconds within which a new daemon must be known to all; heartbeats and polls announce it sooner."""
 ROSTER_PAUSE = 1.0
-"""Seconds between calls of the roster's feed after a change: nobody waits for it."""
+"""Sleep between calls of the roster's feed after a change; nobody waits for the roster."""
 FETCH_AFTER_SECONDS = 1.5
-"""How long another gateway must be ahead before its settings are asked for: they come from the
-store or a reader at about the same time, and a large document is dear to send."""
+"""Seconds for which another gateway must have newer settings before they are fetched from it. They usually
+arrive from the store or a reader at about the same time, and a large document is costly to send."""
 WATCH_SECONDS = 0.5
-"""Time between looks at who is silent; heartbeats go out each second."""
+"""Interval of the check for silent daemons, in seconds; heartbeats are sent every second."""
 GONE_SECONDS = 20.0
-"""A gateway that was silent for so long is taken out of the roster: restarts take a few seconds."""
+"""A gateway that has been silent for so long is marked as gone in the roster; restarts take a few
+seconds."""
 CLEAN_SECONDS = 5.0
-"""Time between looks for these."""
+"""Interval of the check for such gateways, in seconds."""
 STOP_RETRY_SECONDS = 3.0
-"""Time after which the row of a request that is held back is written once more, if it is not there."""
+"""Seconds after which the row of a quarantined request is written again if it is missing from the store."""
 CATCH_UP_LOOK_SECONDS = 0.05
-"""Time between looks whether a gateway that starts has heard enough of the others."""
+"""Interval at which a gateway that starts checks whether it has heard enough from the others."""
 BUDGET_PART = 0.85
-"""Part of the users' bound on repeated sendings that all gateways together allow themselves."""
+"""Fraction of the configured bound on retries that all gateways together use."""
 
 
 class Peering:
-    """The other gateways as one of them knows them."""
+    """The view that one gateway has of the others."""
 
     def __init__(
         self,
@@ -102,10 +103,10 @@
         self.lost_daemons = LostDaemons()
         self.clean_at = 0.0
         self.roster_position: Position | None = None
-        """Up to where the roster was taken in."""
+        """Position of the roster as last applied."""
 
         self.writing = False
-        """Whether the own row is about to be written again."""
+        """Whether a rewrite of the own row is scheduled."""
 
         self.feed = Feed(store, table, poll_wait(ROSTER_BOUND), self._take_roster, ROSTER_PAUSE, history)
         self.membership: Membership | None = None
@@ -138,14 +139,14 @@
             rng,
         )
         if config.peer_ports:
-            # Others may tell of the tables before the roster is known here.
+            # Other gateways may relay the tables before the roster is known here.
             self.fanout.set_sources((config.member,))
 
     def __repr__(self) -> str:
         return f"<Peering {self.plan.role.value} {self.membership!r}>"
 
     def run(self) -> None:
-        """Join the other gateways, then watch them for ever."""
+        """Join the other gateways, then monitor them forever."""
         if not self.config.peer_ports:
             return
         eventlet.spawn_n(self._catch_up)
@@ -164,36 +165,38 @@
             self._watch()
 
     def live(self) -> list[MemberId]:
-        """List the other gateways heard lately."""
+        """List the other gateways heard from recently."""
         return [member.id for member in self.membership.live()] if self.membership is not None else []
 
     def reads(self) -> bool:
-        """Tell whether this gateway reads the store for others, or there are no others that do."""
+        """Return whether this gateway reads the store itself, as a reader for others or as the only
+        gateway."""
         return self.plan.role is Role.SITE_READER
 
     def leave(self) -> None:
-        """Tell the others that this gateway stops."""
+        """Announce to the others that this gateway is stopping."""
         if self.membership is not None:
             self.membership.draining = True
             self.membership.beat()
 
     def count(self) -> int:
-        """Return how many gateways there are, as far as known here."""
+        """Return the number of gateways, as far as known here."""
         return max(1, len(self.ranking.ranked))
 
     def _catch_up(self) -> None:
-        """Have this gateway serve once it knows that others have no newer settings."""
+        """Let this gateway serve once others are known to have no newer settings."""
         while not self.catch_up.check(self._expected()):
             eventlet.sleep(CATCH_UP_LOOK_SECONDS)
         if self.membership is not None:
             self.membership.fetch_after = FETCH_AFTER_SECONDS
 
     def _expected(self) -> Set[MemberId] | None:
-        """Return the gateways that are to be heard before this one serves."""
+        """Return the gateways that must be heard before this one serves; None before this one has
+        joined."""
         return self.membership.members.keys() if self.membership is not None else None
 
     def _keeper(self, server: Server) -> MemberId | None:
-        """Choose the gateway that keeps the rate limit of a server; none before this one has joined.
+        """Choose the gateway that keeps the rate limit of a server; None before this one has joined.
 
         In a large site it is a reader of the server's hall, to which others have streams.
         """
@@ -211,18 +214,18 @@
         return choose_keeper(server.facts.key, near or live)
 
     def _route(self, member: MemberId) -> MemberId | None:
-        """Return the gateway over which another one is reached: itself, or a reader of the own hall."""
+        """Return the next hop to another gateway: itself, or a reader of the own hall."""
         known = self.membership.members if self.membership is not None else {}
         readers = self.totals.readers.get(self.config.hall, ())
         return next((name for name in (member, *readers) if name in known), None)
 
     def new_budget(self) -> RetryBudget:
-        """Make the budget of a service: this gateway's part of the bound on all of them."""
+        """Create the retry budget of a service: this gateway's share of the bound on all of them."""
         fraction = BUDGET_PART * self.config.retry_fraction
         return RetryBudget(fraction, self._floor(), self.config.retry_window_seconds)
 
     def _watch(self) -> None:
-        """Notice who fell silent and who is back, and do what is due."""
+        """Track which gateways are silent and run the periodic tasks."""
         assert self.membership is not None
         self.membership.watch()
         self.lost_daemons.update(self.membership.silent(LOST_AFTER_SECONDS), self.membership.heard)
@@ -236,7 +239,7 @@
             budget.floor = self._floor()
 
     def _clean_roster(self) -> None:
-        """Take gateways of the own hall that are gone out of the roster, as its first reader."""
+        """Mark gateways of the own hall as gone, if this one is the first reader of the hall."""
         assert self.membership is not None
         readers = self.plan.hall_readers.get(self.config.hall, ())
         if now() < self.clean_at or readers[:1] != (self.config.member,):
@@ -245,7 +248,7 @@
         if self.roster.marked_gone and (
             back := self.roster.marked_gone & stored_members(self.feed.rows).keys()
         ):
-            # A restored store has lost that these are gone.
+            # The store was restored to a state in which these were not marked yet.
             eventlet.spawn_n(self._mark_gone, min(back))
             return
         for member in self.membership.silent(GONE_SECONDS):
@@ -261,7 +264,7 @@
             event("INFO", "roster not written", error=repr(error))
 
     def _keep_stops(self) -> None:
-        """Have requests that are held back lie in the store, and remove those that were for long."""
+        """Keep the rows of quarantined requests in the store, and remove those that have expired."""
         quarantine = self.peers.quarantine
         for name, evidence in quarantine.unwritten():
             evidence.write_at = now() + STOP_RETRY_SECONDS
@@ -279,10 +282,10 @@
             event("INFO", "stop not written", error=repr(error))
 
     def _write_again(self, reason: str, lost: int = 0) -> None:
-        """Write the own row, and the secret, where the store lacks them.
+        """Write the own row, and the secret, if the store lacks them.
 
-        :param reason: why, for the log.
-        :param lost: how many gateways write theirs at the same moment.
+        :param reason: the reason to log.
+        :param lost: how many gateways rewrite theirs at the same time.
         """
         if not self.writing:
             self.writing = True
@@ -307,20 +310,20 @@
         members = self.membership.count() if self.membership is not None else 0
         bound = BUDGET_PART * self.config.retry_floor
         if not members:
-            # Nobody is known yet; there may be many.
+            # No other gateway is known yet; there may be many.
             return min(BUDGET_FLOOR, bound)
         kept = 1.0 - POOLED_PART if self.totals.readers else 1.0
         return kept * bound / members
 
     def _pooled(self) -> float:
-        """Return the part of the bound that this gateway lends, as a reader."""
+        """Return the part of the bound that this gateway lends to others, as a reader."""
         if not self.totals.reading():
             return 0.0
         readers = sum(len(names) for names in self.totals.readers.values())
         return POOLED_PART * BUDGET_PART * self.config.retry_floor / readers
 
     def _readers(self) -> Sequence[MemberId]:
-        """Return the readers from whom retries are borrowed: those of the own hall."""
+        """Return the readers from which retries are borrowed: those of the own hall."""
         return () if self.totals.reading() else self.totals.readers.get(self.config.hall, ())
 
     def _membership(self, secret: bytes) -> Membership:
@@ -370,7 +373,7 @@
         self._assign()
 
     def _recover(self, before: Roster) -> None:
-        """Keep what a restored store has lost of the roster, and have it written again."""
+        """Keep members whose rows a restored store has lost; rewrite the own row if it is among them."""
         lost = before.members.keys() - self.roster.members.keys()
         if self.config.member in lost:
             self._write_again("the store was restored", len(lost))
@@ -379,7 +382,7 @@
         eventlet.spawn_after(REWRITE_GRACE_SECONDS, self._drop_unwritten)
 
     def _drop_unwritten(self) -> None:
-        """Drop gateways whose rows a restored store has lost and that have not written them again."""
+        """Drop gateways whose rows were lost in a restore and that have not rewritten them."""
         stored = stored_members(self.feed.rows)
         gone = self.roster.members.keys() - stored.keys() - {self.config.member}
         if gone:
@@ -389,10 +392,10 @@
             self._assign()
 
     def _check_secret(self, membership: Membership) -> None:
-        """Have the streams and the store agree on one secret.
+        """Make the streams and the store use one secret.
 
-        Gateways that ran when the store was restored write theirs again; one that
-        started since, and found none, takes that.
+        Gateways that were running when the store was restored write their secret again. One that started
+        later and found none takes that secret over.
         """
         stored = self.roster.secret
         if stored == membership.secret:
@@ -407,7 +410,7 @@
         self.peers.quarantine.use_key(key_of(stored))
 
     def _assign(self) -> None:
-        """Take in who the other gateways are."""
+        """Apply a changed roster: ranking, plan and streams."""
         rows = self.roster.members
         links = {name: row.link_mbps for name, row in rows.items()}
         self.ranking = Ranking({name: row.hall for name, row in rows.items()}, links)
@@ -415,9 +418,9 @@
         self._make_plan(True)
 
     def _make_plan(self, always: bool = False) -> None:
-        """Work out who reads, and act on it where it changed.
+        """Choose the readers, and act on the plan if it has changed.
 
-        :param always: whether to act on it though it is the same: the roster changed.
+        :param always: whether to act even if the plan is the same, because the roster changed.
         """
         assert self.membership is not None
         me = self.config.member
@@ -434,7 +437,7 @@
         self._keep_streams()
 
     def _keep_streams(self) -> None:
-        """Keep streams to those whom this gateway asks, and to those who ask it."""
+        """Keep streams to the gateways that this one polls, and to those that poll it."""
         assert self.membership is not None
         addresses = {name: row.address for name, row in self.roster.members.items()}
         if len(self.ranking.ranked) <= FULL_MESH:
@@ -451,7 +454,7 @@
 
     def _heard_poll(self, member: MemberId, poll: wire.Poll) -> None:
         if member not in self.roster.members:
-            # It started just now. Its hall matters for sums only, and comes with its row.
+            # It started just now. Its hall only matters for sums, and arrives with its row.
             known = {**self.roster.members, member: MemberRow(poll.address, self.config.hall)}
             self.roster = msgspec.structs.replace(self.roster, members=known)
         self.fanout.receive_poll(member, poll)
--- a/bayglade/trust.py
+++ b/bayglade/trust.py
@@ -1,8 +1,8 @@
-"""Trust in what a daemon knows: how old its knowledge of the settings may be.
+"""Trust in the local settings: how old they may be while requests are served.
 
-A daemon that hears neither the table nor any other daemon cannot know of a
-newer revision. After a set time it stops serving, unless it is the only daemon
-that the host list names: then nobody else could have accepted a change.
+A daemon that hears neither from the table nor from any other daemon cannot learn of a newer
+revision. After a configured time it stops serving, unless it is the only daemon in the host list,
+because then nobody else could have accepted a change.
 """
 
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 
 
 class Trust:
-    """Decides whether this daemon may act on what it knows.
+    """Decides whether this daemon may act on its settings.
 
     :param revisions: the settings in force.
     :param membership: returns the other daemons.
-    :param blind_limit: seconds without news after which it may not.
+    :param blind_limit: seconds without confirmation after which it may not.
     """
 
     def __init__(
@@ -32,19 +32,19 @@
         return f"<Trust {'good' if self.good() else 'lost'}>"
 
     def age(self) -> float:
-        """Return the seconds since anybody confirmed the settings."""
+        """Return the seconds since the table or another daemon last confirmed the settings."""
         return now() - max(self.revisions.known_at, self.membership().heard_at())
 
     def good(self) -> bool:
-        """Tell whether what is known is fresh enough to act on."""
+        """Return whether the settings are recent enough to act on."""
         if self.revisions.known_at == 0.0 and not self.revisions.current.revision:
             return False
         return self.member_count() == 1 or self.age() < self.blind_limit
 
     def check(self) -> None:
-        """Refuse to act on old knowledge.
+        """Refuse to act on outdated settings.
 
-        :raises CutOff: when nothing was heard for too long.
+        :raises CutOff: when nothing has confirmed them for too long.
         """
         if not self.good():
             raise CutOff(
@@ -54,5 +54,5 @@
             )
 
     def member_count(self) -> int:
-        """Return how many daemons the host list names, this one included."""
+        """Return how many daemons are in the host list, including this one."""
         return len(self.membership().listed)
