--- a/bayglade/callers/api.py
+++ b/bayglade/callers/api.py
@@ -11,7 +11,7 @@
 from bayglade.claims import Claim, Kept
 from bayglade.clock import now
 from bayglade.completions import Answer
-from bayglade.directory import Directory, Holder
+from bayglade.directory import AccountHolder, Directory
 from bayglade.exceptions import BaygladeError, InvalidRequest, MethodNotAllowed, NotFound, Outcome
 from bayglade.ids import ModelName, RequestId, ServiceName
 from bayglade.models import Completion, EndReason, ServiceRequest
@@ -82,7 +82,7 @@
     def _models(self) -> Response:
         return json_response(wire.ModelList([wire.ModelEntry(n) for n in self.router.tree.models]))
 
-    def _completion(self, environ: Environ, holder: Holder, chat: bool) -> Response:
+    def _completion(self, environ: Environ, holder: AccountHolder, chat: bool) -> Response:
         body = read_body(environ, self.max_body_bytes, self.body_timeout)
         ask = wire.decode_ask(body, chat)
         request = self._completion_request(environ, holder, ask)
@@ -94,7 +94,7 @@
             return self._streamed(environ, request, writer, claim)
         return self._whole(environ, request, writer, claim)
 
-    def _completion_request(self, environ: Environ, holder: Holder, ask: wire.Ask) -> Completion:
+    def _completion_request(self, environ: Environ, holder: AccountHolder, ask: wire.Ask) -> Completion:
         tree = self.router.tree
         if ask.model not in tree.models:
             raise NotFound(f"no model {ask.model!r}", step="read", peer="caller")
@@ -159,7 +159,7 @@
             self.router.claims.keep(claim, ServiceAnswer(status=200, headers=headers, body=content))
         return content
 
-    def _service(self, environ: Environ, holder: Holder) -> Response:
+    def _service(self, environ: Environ, holder: AccountHolder) -> Response:
         name = environ["PATH_INFO"].removeprefix(SERVICES_PATH).partition("/")[0]
         service = self.router.tree.services.get(ServiceName(name))
         if service is None:
@@ -175,7 +175,7 @@
             return _service_response(request.id, self.router.call(request, claim))
 
     def _service_request(
-        self, environ: Environ, holder: Holder, name: ServiceName, by_default: bool, body: bytes
+        self, environ: Environ, holder: AccountHolder, name: ServiceName, by_default: bool, body: bytes
     ) -> ServiceRequest:
         repeatable = _repeatable(environ, by_default)
         request_id = _new_id()
@@ -191,7 +191,7 @@
             call=_service_call(environ, name, body, request_id, holder),
         )
 
-    def _seconds(self, environ: Environ, holder: Holder) -> float:
+    def _seconds(self, environ: Environ, holder: AccountHolder) -> float:
         """Return the seconds a request may take: the caller may shorten, not lengthen."""
         allowed = deadline_of(self.router.tree, holder.group)
         text = header(environ, wire.DEADLINE_HEADER)
@@ -250,7 +250,7 @@
 
 
 def _service_call(
-    environ: Environ, name: ServiceName, body: bytes, request: RequestId, holder: Holder
+    environ: Environ, name: ServiceName, body: bytes, request: RequestId, holder: AccountHolder
 ) -> ServiceCall:
     path = environ["RAW_PATH_INFO"].removeprefix(f"{SERVICES_PATH}{name}") or "/"
     query = environ.get("QUERY_STRING")
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -127,7 +127,7 @@
 
     def ready(self) -> bool:
         """Tell whether the balancer should send callers here."""
-        return not self.membership.draining and self.trust.good()
+        return not self.membership.draining and self.trust.is_fresh()
 
     def application(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         """Serve one HTTP request (PEP 3333)."""
@@ -261,7 +261,7 @@
         """Give the orders of placement that fall to this daemon, for ever."""
         while True:
             eventlet.sleep(PLACE_INTERVAL * self.rng.uniform(0.8, 1.2))
-            if self.trust.good() and not self.membership.draining:
+            if self.trust.is_fresh() and not self.membership.draining:
                 self._try("placement", lambda: self.placer.run_once(self.router.tree))
 
     def _mark_leaving(self) -> None:
--- a/bayglade/directory.py
+++ b/bayglade/directory.py
@@ -9,7 +9,7 @@
 from bayglade.settings import Tree
 
 
-class Holder(msgspec.Struct, frozen=True):
+class AccountHolder(msgspec.Struct, frozen=True):
     """The client account that a key belongs to, and its group."""
 
     account: AccountName
@@ -27,13 +27,13 @@
     """The keys of one revision, by their SHA-256."""
 
     def __init__(self, tree: Tree) -> None:
-        self.accounts = {a.key_sha256: Holder(n, a.group) for n, a in tree.accounts.items()}
+        self.accounts = {a.key_sha256: AccountHolder(n, a.group) for n, a in tree.accounts.items()}
         self.operators = {o.key_sha256: OperatorHolder(n, o.subtree) for n, o in tree.operators.items()}
 
     def __repr__(self) -> str:
         return f"<Directory {len(self.accounts)} accounts, {len(self.operators)} operators>"
 
-    def account(self, key: str) -> Holder:
+    def account(self, key: str) -> AccountHolder:
         """Find the client account of a key.
 
         :param key: what the caller sent.
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -152,7 +152,7 @@
             self.metrics,
             self.rng,
             pairs=Mechanism.PAIRS not in config.without,
-            first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
+            first=lambda: self.peering.reads_store() and self.document_feed.failing_since is None,
         )
         self.peering = Peering(
             config,
@@ -217,7 +217,7 @@
 
     def _feeds(self) -> tuple[Feed, ...]:
         """Return the feeds of all tables; the first looks most often for a store that is lost."""
-        return self.document_feed, self.servers_feed, self.peering.feed
+        return self.document_feed, self.servers_feed, self.peering.roster_feed
 
     def beliefs(self) -> Beliefs:
         """Return what this daemon takes for true at this moment."""
@@ -401,7 +401,7 @@
         if not self.draining:
             self.draining_since = now()
         self.draining = True
-        self.peering.leave()
+        self.peering.announce_stop()
         if not self.stopping.ready():
             self.stopping.send()
 
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -54,23 +54,23 @@
 
 ROSTER_BOUND = 50.0
 """Seconds within which a new daemon must be known to all; heartbeats and polls announce it sooner."""
-ROSTER_PAUSE = 1.0
+ROSTER_BATCH_DELAY = 1.0
 """Sleep between calls of the roster's feed after a change; nobody waits for the roster."""
-FETCH_AFTER_SECONDS = 1.5
+FETCH_DELAY = 1.5
 """Seconds for which another gateway must have newer settings before they are fetched from it. They usually
 arrive from the store or a reader at about the same time, and a large document is costly to send."""
-WATCH_SECONDS = 0.5
+CHECK_INTERVAL = 0.5
 """Interval of the check for silent daemons, in seconds; heartbeats are sent every second."""
-GONE_SECONDS = 20.0
+GONE_AFTER_SECONDS = 20.0
 """A gateway that has been silent for so long is marked as gone in the roster; restarts take a few
 seconds."""
-CLEAN_SECONDS = 5.0
+GONE_CHECK_INTERVAL = 5.0
 """Interval of the check for such gateways, in seconds."""
-STOP_RETRY_SECONDS = 3.0
+STOP_REWRITE_SECONDS = 3.0
 """Seconds after which the row of a quarantined request is written again if it is missing from the store."""
-CATCH_UP_LOOK_SECONDS = 0.05
+CATCH_UP_CHECK_INTERVAL = 0.05
 """Interval at which a gateway that starts checks whether it has heard enough from the others."""
-BUDGET_PART = 0.85
+BUDGET_FRACTION = 0.85
 """Fraction of the configured bound on retries that all gateways together use."""
 
 
@@ -82,7 +82,7 @@
         config: GatewayConfig,
         store: Table,
         feeds: dict[str, Feed],
-        proof: Feed,
+        probe_feed: Feed,
         table: str,
         history: StoreHistory,
         intake: Intake,
@@ -101,27 +101,29 @@
         self.ranking = Ranking({})
         self.plan = ReaderPlan(Role.SITE_READER)
         self.lost_daemons = LostDaemons()
-        self.clean_at = 0.0
+        self.next_gone_check_at = 0.0
         self.roster_position: Position | None = None
         """Position of the roster as last applied."""
 
-        self.writing = False
+        self.rewrite_scheduled = False
         """Whether a rewrite of the own row is scheduled."""
 
-        self.feed = Feed(store, table, poll_wait(ROSTER_BOUND), self._take_roster, ROSTER_PAUSE, history)
+        self.roster_feed = Feed(
+            store, table, poll_wait(ROSTER_BOUND), self._apply_roster, ROSTER_BATCH_DELAY, history
+        )
         self.membership: Membership | None = None
         self.catch_up = CatchUp(intake)
         intake.caught_up = not config.peer_ports
         host = parse_address(config.callers).host
         self.address = f"{host}:{config.peer_ports.partition(',')[0]}"
-        self.fanout = Fanout({**feeds, table: self.feed}, proof, self._push, self.address)
+        self.fanout = Fanout({**feeds, table: self.roster_feed}, probe_feed, self._send, self.address)
         self.totals = Totals(config.member)
-        self.pools = Pools(self._readers, self._push, config.retry_window_seconds)
+        self.pools = Pools(self._readers, self._send, config.retry_window_seconds)
         self.spreading = Spreading(
             config.member,
             peers.fleet,
             peers.diagnosis,
-            self._tell,
+            self._send_findings,
             lambda: self.plan.role is not Role.FOLLOWER,
             self.count,
             rng,
@@ -132,9 +134,9 @@
         self.quotas = Quotas(
             peers.fleet.rate_limits,
             config.member,
-            self._keeper,
-            self._route,
-            self._push,
+            self._limit_keeper,
+            self._next_hop,
+            self._send,
             peers.wait_queues.wake,
             rng,
         )
@@ -152,28 +154,28 @@
         eventlet.spawn_n(self._catch_up)
         where = parse_address(self.address)
         listening = listen(where.host, where.port)
-        self.roster = join(self.store, self.feed.table, self.config.member, self._row())
+        self.roster = join(self.store, self.roster_feed.table, self.config.member, self._row())
         assert self.roster.secret is not None
         self.membership = self._membership(self.roster.secret)
         self.peers.quarantine.use_key(key_of(self.roster.secret))
         eventlet.spawn_n(self.membership.serve, listening)
         event("INFO", "joined", address=self.address, members=len(self.roster.members))
-        self._assign()
-        self.feed.start()
+        self._roster_changed()
+        self.roster_feed.start()
         while True:
-            eventlet.sleep(WATCH_SECONDS)
-            self._watch()
+            eventlet.sleep(CHECK_INTERVAL)
+            self._check()
 
     def live(self) -> list[MemberId]:
         """List the other gateways heard from recently."""
         return [member.id for member in self.membership.live()] if self.membership is not None else []
 
-    def reads(self) -> bool:
+    def reads_store(self) -> bool:
         """Return whether this gateway reads the store itself, as a reader for others or as the only
         gateway."""
         return self.plan.role is Role.SITE_READER
 
-    def leave(self) -> None:
+    def announce_stop(self) -> None:
         """Announce to the others that this gateway is stopping."""
         if self.membership is not None:
             self.membership.draining = True
@@ -185,17 +187,17 @@
 
     def _catch_up(self) -> None:
         """Let this gateway serve once others are known to have no newer settings."""
-        while not self.catch_up.check(self._expected()):
-            eventlet.sleep(CATCH_UP_LOOK_SECONDS)
+        while not self.catch_up.check(self._awaited_members()):
+            eventlet.sleep(CATCH_UP_CHECK_INTERVAL)
         if self.membership is not None:
-            self.membership.fetch_after = FETCH_AFTER_SECONDS
+            self.membership.fetch_after = FETCH_DELAY
 
-    def _expected(self) -> Set[MemberId] | None:
+    def _awaited_members(self) -> Set[MemberId] | None:
         """Return the gateways that must be heard before this one serves; None before this one has
         joined."""
         return self.membership.members.keys() if self.membership is not None else None
 
-    def _keeper(self, server: Server) -> MemberId | None:
+    def _limit_keeper(self, server: Server) -> MemberId | None:
         """Choose the gateway that keeps the rate limit of a server; None before this one has joined.
 
         In a large site it is a reader of the server's hall, to which others have streams.
@@ -213,7 +215,7 @@
         near = [member for member in live if self.ranking.halls[member] == hall]
         return choose_keeper(server.facts.key, near or live)
 
-    def _route(self, member: MemberId) -> MemberId | None:
+    def _next_hop(self, member: MemberId) -> MemberId | None:
         """Return the next hop to another gateway: itself, or a reader of the own hall."""
         known = self.membership.members if self.membership is not None else {}
         readers = self.totals.readers.get(self.config.hall, ())
@@ -221,37 +223,37 @@
 
     def new_budget(self) -> RetryBudget:
         """Create the retry budget of a service: this gateway's share of the bound on all of them."""
-        fraction = BUDGET_PART * self.config.retry_fraction
-        return RetryBudget(fraction, self._floor(), self.config.retry_window_seconds)
+        fraction = BUDGET_FRACTION * self.config.retry_fraction
+        return RetryBudget(fraction, self._retry_floor(), self.config.retry_window_seconds)
 
-    def _watch(self) -> None:
+    def _check(self) -> None:
         """Track which gateways are silent and run the periodic tasks."""
         assert self.membership is not None
         self.membership.watch()
         self.lost_daemons.update(self.membership.silent(LOST_AFTER_SECONDS), self.membership.heard)
         self._make_plan()
-        self._clean_roster()
-        self._keep_stops()
+        self._mark_silent_gone()
+        self._sync_stop_rows()
         self.fanout.poll_sources()
         self.peers.fleet.rate_limits.tidy()
         self.quotas.tidy()
         for budget in self.peers.budgets.values():
-            budget.floor = self._floor()
+            budget.floor = self._retry_floor()
 
-    def _clean_roster(self) -> None:
+    def _mark_silent_gone(self) -> None:
         """Mark gateways of the own hall as gone, if this one is the first reader of the hall."""
         assert self.membership is not None
         readers = self.plan.hall_readers.get(self.config.hall, ())
-        if now() < self.clean_at or readers[:1] != (self.config.member,):
+        if now() < self.next_gone_check_at or readers[:1] != (self.config.member,):
             return
-        self.clean_at = now() + CLEAN_SECONDS
+        self.next_gone_check_at = now() + GONE_CHECK_INTERVAL
         if self.roster.marked_gone and (
-            back := self.roster.marked_gone & stored_members(self.feed.rows).keys()
+            back := self.roster.marked_gone & stored_members(self.roster_feed.rows).keys()
         ):
             # The store was restored to a state in which these were not marked yet.
             eventlet.spawn_n(self._mark_gone, min(back))
             return
-        for member in self.membership.silent(GONE_SECONDS):
+        for member in self.membership.silent(GONE_AFTER_SECONDS):
             row = self.roster.members.get(member)
             if row is not None and row.hall == self.config.hall:
                 eventlet.spawn_n(self._mark_gone, member)
@@ -263,11 +265,11 @@
         except PlatformUnavailable as error:
             event("INFO", "roster not written", error=repr(error))
 
-    def _keep_stops(self) -> None:
+    def _sync_stop_rows(self) -> None:
         """Keep the rows of quarantined requests in the store, and remove those that have expired."""
         quarantine = self.peers.quarantine
         for name, evidence in quarantine.unwritten():
-            evidence.write_at = now() + STOP_RETRY_SECONDS
+            evidence.write_at = now() + STOP_REWRITE_SECONDS
             eventlet.spawn_n(self._change_stop, partial(write_stop, self.store, name, set(evidence.ends)))
         over = quarantine.take_lifts()
         if self.plan.hall_readers.get(self.config.hall, ())[:1] == (self.config.member,):
@@ -281,46 +283,46 @@
         except PlatformUnavailable as error:
             event("INFO", "stop not written", error=repr(error))
 
-    def _write_again(self, reason: str, lost: int = 0) -> None:
+    def _schedule_rewrite(self, reason: str, lost: int = 0) -> None:
         """Write the own row, and the secret, if the store lacks them.
 
         :param reason: the reason to log.
         :param lost: how many gateways rewrite theirs at the same time.
         """
-        if not self.writing:
-            self.writing = True
-            eventlet.spawn_after(rewrite_delay(lost, self.rng), self._rejoin, reason)
+        if not self.rewrite_scheduled:
+            self.rewrite_scheduled = True
+            eventlet.spawn_after(rewrite_delay(lost, self.rng), self._rewrite_row, reason)
 
-    def _rejoin(self, reason: str) -> None:
+    def _rewrite_row(self, reason: str) -> None:
         assert self.membership is not None
         try:
             event("WARNING", "own row written again", reason=reason)
             secret = self.membership.secret
-            joined = join(self.store, self.feed.table, self.config.member, self._row(), secret)
+            joined = join(self.store, self.roster_feed.table, self.config.member, self._row(), secret)
             members = {**self.roster.members, **joined.members}
             self.roster = msgspec.structs.replace(self.roster, members=members)
-            self._assign()
+            self._roster_changed()
         finally:
-            self.writing = False
+            self.rewrite_scheduled = False
 
     def _row(self) -> MemberRow:
         return MemberRow(self.address, self.config.hall, link_mbps=self.config.link_mbps)
 
-    def _floor(self) -> float:
+    def _retry_floor(self) -> float:
         members = self.membership.count() if self.membership is not None else 0
-        bound = BUDGET_PART * self.config.retry_floor
+        bound = BUDGET_FRACTION * self.config.retry_floor
         if not members:
             # No other gateway is known yet; there may be many.
             return min(BUDGET_FLOOR, bound)
         kept = 1.0 - POOLED_PART if self.totals.readers else 1.0
         return kept * bound / members
 
-    def _pooled(self) -> float:
+    def _pooled_retries(self) -> float:
         """Return the part of the bound that this gateway lends to others, as a reader."""
         if not self.totals.reading():
             return 0.0
         readers = sum(len(names) for names in self.totals.readers.values())
-        return POOLED_PART * BUDGET_PART * self.config.retry_floor / readers
+        return POOLED_PART * BUDGET_FRACTION * self.config.retry_floor / readers
 
     def _readers(self) -> Sequence[MemberId]:
         """Return the readers from which retries are borrowed: those of the own hall."""
@@ -335,12 +337,12 @@
             self.peers.metrics,
             list,
             list,
-            self._heard_beat,
+            self._receive_heartbeat,
             self.rng,
         )
         membership.on_due = lambda: self.totals.add_up(self._loads())
         membership.sums_for = self.totals.for_member
-        membership.on_poll = self._heard_poll
+        membership.on_poll = self._receive_poll
         membership.on_updates = self.fanout.receive_updates
         membership.on_store_unreachable = self.fanout.receive_store_unreachable
         membership.on_findings = self.spreading.heard
@@ -350,7 +352,7 @@
         membership.on_quota_request = self.quotas.heard_request
         membership.on_quota_reply = self.quotas.heard_reply
         membership.on_quota_return = self.quotas.heard_return
-        membership.fetch_after = FETCH_AFTER_SECONDS if self.intake.caught_up else 0.0
+        membership.fetch_after = FETCH_DELAY if self.intake.caught_up else 0.0
         membership.caught_up = lambda: self.intake.caught_up
         self.peers.paths.elsewhere = lambda: self.totals.elsewhere(self._loads())
         self.peers.paths.daemons = lambda: self.totals.neighbours() + 1
@@ -358,7 +360,7 @@
         self.peers.paths.pipes.daemons = membership.count
         return membership
 
-    def _take_roster(self, changes: Changes, whole: bool) -> None:
+    def _apply_roster(self, changes: Changes, whole: bool) -> None:
         restored = whole and was_restored(self.roster_position, changes.position)
         self.roster_position = changes.position
         self.peers.quarantine.take_stored(read_stops(changes.rows), whole, restored)
@@ -366,30 +368,30 @@
         if self.membership is None:
             return
         if restored:
-            self._recover(before)
+            self._merge_restored(before)
         elif self.config.member not in self.roster.members:
-            self._write_again("others took this gateway for gone")
+            self._schedule_rewrite("others took this gateway for gone")
         self._check_secret(self.membership)
-        self._assign()
+        self._roster_changed()
 
-    def _recover(self, before: Roster) -> None:
+    def _merge_restored(self, before: Roster) -> None:
         """Keep members whose rows a restored store has lost; rewrite the own row if it is among them."""
         lost = before.members.keys() - self.roster.members.keys()
         if self.config.member in lost:
-            self._write_again("the store was restored", len(lost))
+            self._schedule_rewrite("the store was restored", len(lost))
         self.roster = merge_restored(before, self.roster, self.lost_daemons.since)
         event("WARNING", "roster recovered", lost=len(lost), marked=len(self.roster.marked_gone))
         eventlet.spawn_after(REWRITE_GRACE_SECONDS, self._drop_unwritten)
 
     def _drop_unwritten(self) -> None:
         """Drop gateways whose rows were lost in a restore and that have not rewritten them."""
-        stored = stored_members(self.feed.rows)
+        stored = stored_members(self.roster_feed.rows)
         gone = self.roster.members.keys() - stored.keys() - {self.config.member}
         if gone:
             members = {name: row for name, row in self.roster.members.items() if name not in gone}
             self.roster = msgspec.structs.replace(self.roster, members=members)
             event("INFO", "unwritten rows dropped", peers=sorted(gone))
-            self._assign()
+            self._roster_changed()
 
     def _check_secret(self, membership: Membership) -> None:
         """Make the streams and the store use one secret.
@@ -402,14 +404,14 @@
             return
         restored_at = self.history.restored_at
         if stored is None or (restored_at is not None and now() - restored_at < REWRITE_GRACE_SECONDS):
-            if self.reads():
-                self._write_again("the secret was lost")
+            if self.reads_store():
+                self._schedule_rewrite("the secret was lost")
             return
         event("WARNING", "secret changed")
         membership.secret = stored
         self.peers.quarantine.use_key(key_of(stored))
 
-    def _assign(self) -> None:
+    def _roster_changed(self) -> None:
         """Apply a changed roster: ranking, plan and streams."""
         rows = self.roster.members
         links = {name: row.link_mbps for name, row in rows.items()}
@@ -432,11 +434,11 @@
         self.plan = plan
         mesh = len(self.ranking.ranked) <= FULL_MESH
         self.totals.assign(self.ranking.halls, {} if mesh else plan.hall_readers)
-        self.pools.assign(self._pooled())
+        self.pools.assign(self._pooled_retries())
         self.fanout.set_sources(plan.sources)
-        self._keep_streams()
+        self._update_streams()
 
-    def _keep_streams(self) -> None:
+    def _update_streams(self) -> None:
         """Keep streams to the gateways that this one polls, and to those that poll it."""
         assert self.membership is not None
         addresses = {name: row.address for name, row in self.roster.members.items()}
@@ -447,25 +449,25 @@
         wanted |= self.fanout.pending_polls.keys() & addresses.keys()
         self.membership.sync(addresses, wanted)
 
-    def _heard_beat(self, member: MemberId, beat: wire.Heartbeat) -> None:
+    def _receive_heartbeat(self, member: MemberId, beat: wire.Heartbeat) -> None:
         self.totals.hear(member, beat)
         self.catch_up.record(member, beat.revision, beat.caught_up)
         self.spreading.heard_of(load.key for load in beat.loads)
 
-    def _heard_poll(self, member: MemberId, poll: wire.Poll) -> None:
+    def _receive_poll(self, member: MemberId, poll: wire.Poll) -> None:
         if member not in self.roster.members:
             # It started just now. Its hall only matters for sums, and arrives with its row.
             known = {**self.roster.members, member: MemberRow(poll.address, self.config.hall)}
             self.roster = msgspec.structs.replace(self.roster, members=known)
         self.fanout.receive_poll(member, poll)
         if self.membership is not None and member not in self.membership.members:
-            self._keep_streams()
+            self._update_streams()
 
-    def _push(self, member: MemberId, message: wire.Message) -> None:
+    def _send(self, member: MemberId, message: wire.Message) -> None:
         if self.membership is not None:
             self.membership.push(member, message)
 
-    def _tell(self, findings: Findings, but: MemberId | None) -> None:
+    def _send_findings(self, findings: Findings, but: MemberId | None) -> None:
         if self.membership is not None:
             self.membership.push_all(findings, but)
 
--- a/bayglade/trust.py
+++ b/bayglade/trust.py
@@ -29,13 +29,13 @@
         self.blind_limit = blind_limit
 
     def __repr__(self) -> str:
-        return f"<Trust {'good' if self.good() else 'lost'}>"
+        return f"<Trust {'good' if self.is_fresh() else 'lost'}>"
 
     def age(self) -> float:
         """Return the seconds since the table or another daemon last confirmed the settings."""
         return now() - max(self.revisions.known_at, self.membership().heard_at())
 
-    def good(self) -> bool:
+    def is_fresh(self) -> bool:
         """Return whether the settings are recent enough to act on."""
         if self.revisions.known_at == 0.0 and not self.revisions.current.revision:
             return False
@@ -46,7 +46,7 @@
 
         :raises CutOff: when nothing has confirmed them for too long.
         """
-        if not self.good():
+        if not self.is_fresh():
             raise CutOff(
                 "this daemon is cut off and may not know the settings in force",
                 step="trust",
