--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -1,4 +1,4 @@
-"""Intake: turns a caller's request into a call, under the settings in force."""
+"""Intake: validates and authorises requests under the settings in force."""
 
 import random
 from collections.abc import Callable
@@ -21,25 +21,26 @@
 from bayglade.settings import CallerLimits, Tree, digest_of, level_at, priority_of
 
 TRUST_MARGIN = 1.2
-"""Seconds before the bound on old keys at which requests with keys are refused: a send takes
-time, and a feed may hear nothing for a second while the store drops its history."""
+"""Safety margin in seconds below the bound on the age of keys, at which requests with keys are refused.
+Sending takes time, and a feed may receive nothing for a second while the store discards its history."""
 STALE_OF_TRUST = 0.75
-"""Settings older than this part of that bound refuse nobody for good: the caller may be right
-by newer ones."""
+"""Fraction of that bound beyond which settings are too old to reject a key or path permanently: newer
+settings may allow the request."""
 HOLD_SECONDS = 0.3
-"""How long a call waits for other daemons to confirm the settings: several times as long as that takes
-when they run."""
+"""Seconds for which a call waits for other daemons to confirm the settings; confirmation takes a fraction
+of that when they are running."""
 ELSEWHERE_SECONDS = 0.03
-"""When to come back where another daemon can answer at once; callers reach another one then."""
+"""Retry-After in seconds where another daemon can answer at once; a client's retry then reaches another
+one."""
 
 
 class Intake:
-    """The settings in force, as requests are judged by them.
+    """The settings in force, as they apply to requests.
 
-    :param dialect: how callers speak.
-    :param age: returns the seconds since the settings were surely the newest.
-    :param key_trust: bound on that age for requests with keys, in seconds.
-    :param rng: source of chance.
+    :param dialect: the protocol of the callers.
+    :param age: returns the seconds since the settings were known to be current.
+    :param key_trust: limit on that age for requests with keys, in seconds.
+    :param rng: random number generator.
     """
 
     def __init__(
@@ -54,10 +55,10 @@
         """Whether other daemons were asked for newer settings since this one started."""
 
         self.confirmed = Event()
-        """Sent once they were."""
+        """Set once they were."""
 
         self.decode: Callable[[msgspec.Raw], tuple[int, Tree]] | None = None
-        """Reads a document that another daemon has."""
+        """Decodes a document received from another daemon."""
 
         self.tree = Tree()
         self.endpoints = Endpoints([])
@@ -72,10 +73,10 @@
         return self.current.revision
 
     def offer(self, revision: Revision, digest: Digest, document: bytes) -> None:
-        """Take in settings that another daemon has.
+        """Apply settings received from another daemon if they are newer and valid.
 
         :param revision: their version.
-        :param digest: digest of the document.
+        :param digest: the expected digest of the document.
         :param document: the document as the operator wrote it.
         """
         if revision <= self.version or self.decode is None or digest_of(document) != digest:
@@ -88,11 +89,11 @@
         self.take(version, tree, document)
 
     def take(self, version: int, tree: Tree, document: bytes) -> None:
-        """Take in settings, whole, and only newer ones.
+        """Apply settings as a whole if they are newer.
 
         :param version: their version.
         :param tree: the settings.
-        :param document: what they were read from, for the other daemons.
+        :param document: the document they were decoded from, for the other daemons.
         """
         if version <= self.version:
             if version < self.version:
@@ -107,27 +108,27 @@
         self.current = Current(Revision(version), digest_of(document), document, tree)
 
     def limits(self) -> CallerLimits:
-        """Return the bounds for new connections."""
+        """Return the limits for new connections."""
         return self.tree.caller_limits
 
     def pipelines(self) -> dict[ServiceName, Pipeline]:
-        """Return the models that run as pipelines, by service."""
+        """Return the services that run a model as a pipeline."""
         return {name: s.pipeline for name, s in self.tree.services.items() if s.pipeline is not None}
 
     def share_of(self, path: GroupPath) -> tuple[int, float]:
-        """Return priority and share of a group, for the order of those who wait."""
+        """Return the priority and share of a group, which order waiting requests."""
         try:
             return priority_of(self.tree, path), level_at(self.tree, path).share
         except NotFound:
-            # The group went away while its requests waited.
+            # The group was removed while its requests waited.
             return 0, 1.0
 
     def call(self, message: Message) -> Call:
-        """Judge a request.
+        """Authorise a request and turn it into a call.
 
-        :param message: the request, whole.
-        :return: the call to be relayed.
-        :raises BaygladeError: when it is refused; nothing ran.
+        :param message: the complete request.
+        :return: the call to relay.
+        :raises BaygladeError: when it is refused; nothing was run.
         """
         arrived = now()
         head = self.dialect.read_call(message)
@@ -140,7 +141,7 @@
             group = self._group(head, endpoint)
         except (NotFound, Unauthenticated) as error:
             if self.age() > STALE_OF_TRUST * self.key_trust:
-                raise self._cut_off("the settings known here are old") from error
+                raise self._cut_off("the settings known here may be outdated") from error
             raise
         seconds = endpoint.timeout if head.seconds is None else min(head.seconds, endpoint.timeout)
         call = Call(
@@ -160,41 +161,43 @@
         return call
 
     def catch_up(self) -> None:
-        """Note that other daemons have no newer settings, as far as can be known."""
+        """Record that other daemons have no newer settings, as far as can be determined."""
         self.caught_up = True
         if not self.confirmed.ready():
             self.confirmed.send()
 
     def _await_others(self) -> bool:
-        """Hold a call for the moment in which other daemons are asked; tell whether it may go on.
+        """Hold a call while other daemons are asked for newer settings; return whether it may continue.
 
-        All callers come at once when all daemons start again, and each refusal costs them a try.
+        After a restart of all daemons all callers arrive at once, and each refusal costs them an attempt.
         """
         with eventlet.Timeout(HOLD_SECONDS, False):
             self.confirmed.wait()
         return self.caught_up
 
     def trusted(self) -> bool:
-        """Tell whether what is known of keys is fresh enough to run requests that carry one."""
+        """Return whether the known keys are recent enough to run requests that carry one."""
         return self.age() <= self.key_trust - TRUST_MARGIN
 
     def check(self, call: Call) -> None:
-        """Refuse a request whose key was, or may have been, taken away in the meantime.
+        """Refuse a request whose key was, or may have been, revoked in the meantime.
 
-        A daemon that was stopped and goes on finds its knowledge old here, right
-        before it would send. A stream may wait for as long as its deadline allows
-        before it is sent anew: without a second look its key would hold that long.
+        A daemon that resumes after a suspension detects here, right before sending, that its settings are
+        outdated. A stream may wait as long as its deadline allows before it is sent again; without this
+        second check a revoked key would stay usable that long.
 
         :param call: the call.
-        :raises CutOff: when what is known of keys is too old.
+        :raises CutOff: when the known keys are too old.
         :raises Unauthenticated: when its account no longer has the key.
         """
         if call.group is None:
             return
         if not self.trusted():
-            raise self._cut_off("what is known here of keys is too old")
+            raise self._cut_off("the keys known here are too old to trust")
         if self.tree.accounts and self.directory.account(call.head.key or "").group != call.group:
-            raise Unauthenticated("the key has another account now", step="authenticate", peer="caller")
+            raise Unauthenticated(
+                "the key now belongs to another group", step="authenticate", peer="caller"
+            )
 
     def _group(self, head: CallHead, endpoint: Endpoint) -> GroupPath | None:
         if endpoint.public or not self.tree.accounts:
--- a/bayglade/patches.py
+++ b/bayglade/patches.py
@@ -1,17 +1,17 @@
-"""Differences between two JSON documents, as JSON merge patches (RFC 7396)."""
+"""Differences between JSON documents as JSON merge patches (RFC 7396)."""
 
 from typing import Any
 
 JsonObject = dict[str, Any]
-"""A JSON object as the standard library reads it; patches have no fixed shape."""
+"""A decoded JSON object; patches have no fixed schema."""
 
 
 def diff(old: JsonObject, new: JsonObject) -> JsonObject:
-    """Make the patch that turns one document into another.
+    """Compute the patch that turns one document into another.
 
     :param old: the document before.
-    :param new: the document after; must hold no nulls.
-    :return: the patch; a null removes a member.
+    :param new: the document after; must contain no nulls.
+    :return: the patch; a null value removes a member.
     """
     patch: JsonObject = {key: None for key in old if key not in new}
     for key, value in new.items():
@@ -26,9 +26,9 @@
 
 
 def apply(document: JsonObject, patch: JsonObject) -> JsonObject:
-    """Make the document that a patch leads to; the input is not changed.
+    """Apply a patch to a copy of a document.
 
-    :param document: the document before.
+    :param document: the document before; it is not modified.
     :param patch: a merge patch.
     :return: the document after.
     """
@@ -48,7 +48,7 @@
     """List the paths that a patch sets or removes.
 
     :param patch: a merge patch.
-    :param prefix: where the patch applies.
+    :param prefix: the path of the patched object.
     :return: the path of each leaf of the patch.
     """
     paths: list[tuple[str, ...]] = []
--- a/bayglade/revisions.py
+++ b/bayglade/revisions.py
@@ -1,8 +1,8 @@
-"""Revisions of the settings: the one in force, how a new one is accepted.
+"""Revisions of the settings: the one in force, and how a new one is accepted.
 
-Content lies in the object store under its digest. One transaction moves the
-head of the table from revision n to n+1 and adds the audit row. A daemon takes
-in only a higher revision; a head that went back raises an alarm.
+Documents are kept in the object store under their digest. One transaction moves the head row from
+revision n to n+1 and adds the audit row. A daemon only applies a higher revision; a head that moved
+backwards is an error that is logged.
 """
 
 import time
@@ -35,14 +35,14 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The head of the settings in the table."""
+    """The row that names the latest revision of the settings."""
 
     revision: Revision
     digest: Digest
 
 
 class AuditRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Who changed what, when and from where; ``at`` is seconds since 1970."""
+    """Who changed what, when and from where; ``at`` is a Unix time in seconds."""
 
     revision: Revision
     change: ChangeId
@@ -56,7 +56,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """A change as an operator asks for it."""
+    """A change that an operator requests."""
 
     id: ChangeId
     base: Revision
@@ -65,7 +65,7 @@
 
 
 class Author(msgspec.Struct, frozen=True):
-    """Who asks for a change: name, subtree they steer, address they came from."""
+    """Who requests a change: the operator's name, their subtree and the address of the request."""
 
     operator: str
     subtree: GroupPath
@@ -73,7 +73,7 @@
 
 
 class Current(msgspec.Struct, frozen=True):
-    """A revision in force: its number, digest, document and tree."""
+    """A revision: its number, digest, document and tree."""
 
     revision: Revision
     digest: Digest
@@ -90,8 +90,8 @@
 class Revisions:
     """The revision in force in this daemon.
 
-    :param platform: where revisions are kept.
-    :param on_change: called with each new revision in force.
+    :param platform: the platform that keeps revisions.
+    :param on_change: called with each revision that comes into force.
     """
 
     def __init__(self, platform: Platform, on_change: Callable[[Current], None]) -> None:
@@ -105,10 +105,10 @@
         return f"<Revisions {self.current.revision}>"
 
     def poll(self) -> None:
-        """Ask the table for the head and take in a newer revision.
+        """Read the head from the table and apply a newer revision.
 
         :raises PlatformUnavailable: when the table does not answer.
-        :raises SettingsWentBack: when its head is older than what is in force.
+        :raises SettingsWentBack: when the head is older than the revision in force.
         """
         asked, known = now(), self.current
         row = self.platform.read([HEAD_KEY]).get(HEAD_KEY)
@@ -119,37 +119,37 @@
         self.known_at = max(self.known_at, asked)
 
     def offer(self, revision: Revision, digest: Digest, document: bytes) -> bool:
-        """Take in a revision if it is newer than the one in force.
+        """Apply a revision if it is newer than the one in force.
 
         :param revision: its number.
-        :param digest: what the document must hash to.
+        :param digest: the expected digest of the document.
         :param document: canonical JSON.
         :return: whether it was newer.
-        :raises InvalidSettings: when the document is not what the digest says.
+        :raises InvalidSettings: when the document does not match the digest.
         """
         if revision <= self.current.revision:
             return False
         if settings.digest_of(document) != digest:
-            raise InvalidSettings("a document does not match its digest", step="settings")
+            raise InvalidSettings("the document does not match its digest", step="settings")
         self.current = Current(revision, digest, document, settings.decode(document))
         event("INFO", "settings in force", revision=revision)
         self.on_change(self.current)
         return True
 
     def accept(self, change: Change, author: Author) -> Current:
-        """Check a change, keep it in the platform and put it in force here.
+        """Check a change, store it in the platform and apply it here.
 
         :param change: the change.
-        :param author: who asks.
-        :return: the revision that holds the change.
+        :param author: who requests it.
+        :return: the revision that contains the change.
         :raises SettingsConflict: when the head is not the change's base.
         :raises InvalidSettings: when the result breaks a rule.
         :raises Forbidden: when the change reaches outside the author's subtree.
-        :raises PlatformUnavailable: when nothing was kept.
-        :raises PlatformAnswerLost: when the change may have been kept.
+        :raises PlatformUnavailable: when nothing was stored.
+        :raises PlatformAnswerLost: when the change may have been stored.
         """
         self.poll()
-        # Everything below refers to this revision: another may come in force meanwhile.
+        # All of the following uses this revision: another one may come into force meanwhile.
         before = self.current
         if change.base != before.revision:
             return self._repeated(change) or self._conflict(change)
@@ -162,11 +162,11 @@
         return self._repeated(change) or self._conflict(change)
 
     def check(self, change: Change, author: Author) -> Current:
-        """Check a change against the settings in force, without keeping it.
+        """Check a change against the settings in force without storing it.
 
         :param change: the change.
-        :param author: who asks.
-        :return: the revision that it would make.
+        :param author: who requests it.
+        :return: the revision that it would create.
         :raises SettingsConflict: when another change came first.
         :raises InvalidSettings: when the result breaks a rule.
         :raises Forbidden: when the change reaches outside the author's subtree.
@@ -177,9 +177,9 @@
         return _next(before, change, author)
 
     def history(self, count: int) -> list[AuditRow]:
-        """Read the newest audit rows, the newest first.
+        """Read the latest audit rows, newest first.
 
-        :param count: how many at most.
+        :param count: the maximum number of rows.
         :return: the rows.
         :raises PlatformUnavailable: when the table does not answer.
         """
@@ -190,7 +190,7 @@
         return [msgspec.json.decode(rows[key].value, type=AuditRow) for key in keys if key in rows]
 
     def _check_not_back(self, head: Head, known: Current) -> None:
-        """Compare the head with what was in force before it was asked for."""
+        """Check that the head is not behind what was in force before it was read."""
         older = head.revision < known.revision
         other = head.revision == known.revision and head.digest != known.digest
         self.went_back = older or other
@@ -198,7 +198,7 @@
             return
         event("ERROR", "settings went back", head=head.revision, in_force=known.revision)
         raise SettingsWentBack(
-            f"the table says revision {head.revision}, but {known.revision} is in force",
+            f"the head row has revision {head.revision}, but revision {known.revision} is in force",
             step="settings",
             peer="platform",
         )
@@ -214,12 +214,12 @@
             except PlatformUnavailable:
                 if not lost:
                     raise
-            # Sent again under the same conditions it can take effect once only.
+            # The conditions are the same when it is sent again, so it is committed at most once.
             eventlet.sleep(LOST_PAUSE)
-        raise PlatformAnswerLost("the change may have been kept", step="apply", retry_after=2.0)
+        raise PlatformAnswerLost("the change may have been committed", step="apply", retry_after=2.0)
 
     def _repeated(self, change: Change) -> Current | None:
-        """Return the revision in force if it holds a change that was sent before."""
+        """Return the revision in force if this change was committed by an earlier request."""
         row = self.platform.read([_change_key(change.id)]).get(_change_key(change.id))
         return self.current if row is not None else None
 
@@ -231,14 +231,14 @@
             if row.revision > change.base
         ]
         raise SettingsConflict(
-            f"made against revision {change.base}, but {self.current.revision} is in force;"
-            f" changed since: {'; '.join(names)}",
+            f"change is based on revision {change.base}, but {self.current.revision} is in force;"
+            f" changes since: {'; '.join(names)}",
             step="apply",
         )
 
 
 def _next(before: Current, change: Change, author: Author) -> Current:
-    """Work out the revision that a change makes of the one before."""
+    """Compute the revision that results from a change."""
     _check_scope(change.patch, author.subtree)
     document = msgspec.json.decode(before.document)
     tree = settings.decode(msgspec.json.encode(patches.apply(document, change.patch)))
@@ -248,7 +248,7 @@
 
 
 def _transaction(change: Change, author: Author, before: Current, after: Current) -> rows.Transaction:
-    """Build the write that moves the head and adds the audit row, or does neither."""
+    """Build the transaction that moves the head and adds the audit row atomically."""
     old, new = msgspec.json.decode(before.document), msgspec.json.decode(after.document)
     audit = AuditRow(
         revision=after.revision,
@@ -265,7 +265,7 @@
     change_key = _change_key(change.id)
     return rows.Transaction(
         conditions=[
-            # The head is written once a revision, so its version is the revision.
+            # The head is written once per revision, so its row version equals the revision.
             rows.Condition(HEAD_KEY, before.revision),
             rows.Condition(change_key, rows.ABSENT),
         ],
@@ -297,7 +297,7 @@
 
 
 def _check_accounts_stay(before: Tree, after: Tree, patch: dict[str, Any], subtree: GroupPath) -> None:
-    """Accounts that a change touches lie in the author's subtree before and after."""
+    """Check that accounts which a change touches are in the author's subtree before and after."""
     accounts = patch.get("accounts") or {}
     for name in accounts:
         for tree in (before, after):
@@ -309,11 +309,11 @@
 def scoped_document(document: bytes, subtree: GroupPath) -> dict[str, Any]:
     """Return the part of a document that an operator may see.
 
-    Keys of accounts are digests; those of operators are shown at the top only.
+    Keys of accounts are included as digests; those of operators only for the root subtree.
 
     :param document: canonical JSON.
     :param subtree: the operator's subtree.
-    :return: the document with all other groups and accounts left out.
+    :return: the document without all other groups and accounts.
     """
     whole: dict[str, Any] = msgspec.json.decode(document)
     if not subtree:
@@ -330,7 +330,7 @@
     for name in subtree.split("/"):
         level = level.get("groups", {}).get(name)
         if level is None:
-            raise NotFound(f"no group {subtree!r}", step="settings")
+            raise NotFound(f"no such group: {subtree!r}", step="settings")
         branch["groups"] = {name: {}}
         branch = branch["groups"][name]
     branch.update(level)
--- a/bayglade/settings.py
+++ b/bayglade/settings.py
@@ -1,7 +1,7 @@
-"""The settings tree: its types, its checks and its inheritance.
+"""The settings tree: its types, validation and inheritance.
 
-A revision of the tree is one document. It is kept and spread as canonical JSON
-and written by operators as YAML (see :mod:`bayglade.operators.documents`).
+A revision of the tree is one document. It is stored and distributed as canonical JSON; operators
+write it as YAML (see :mod:`bayglade.operators.documents`).
 """
 
 import hashlib
@@ -32,7 +32,7 @@
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True, frozen=True):
-    """Upper bounds for a level and everything below it, over all daemons."""
+    """Upper bounds for a level and everything below it, across all daemons."""
 
     requests_per_second: float | None = None
     tokens_per_second: float | None = None
@@ -42,9 +42,9 @@
 class Level(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
     """One level of the tree of groups.
 
-    ``share`` weighs a level against its siblings. ``priority``, ``versions``
-    and ``deadline_seconds`` are inherited unless a lower level overrides them.
-    ``limits`` bound the level together with everything below it.
+    ``share`` is the weight of a level relative to its siblings. ``priority``, ``versions`` and
+    ``deadline_seconds`` are inherited unless a lower level overrides them. ``limits`` apply to the
+    level together with everything below it.
     """
 
     share: float = 1.0
@@ -56,14 +56,14 @@
 
 
 class Model(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """A model: how many layers it has and which version serves by default."""
+    """A model: its number of layers and the version served by default."""
 
     layers: int
     version: Version
 
 
 class Backend(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """Facts of one backend server that holds layers ``[first, last)`` of a model."""
+    """A backend server that holds layers ``[first, last)`` of a model."""
 
     address: str
     hall: HallName
@@ -76,17 +76,17 @@
 
 
 class Service(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """A plain service and the servers that offer it."""
+    """A plain service and the servers that provide it."""
 
     servers: dict[BackendId, str]
     repeatable: bool = True
     timeout_seconds: float = 5.0
     max_connections: int | None = None
-    """Connections that one server takes from all daemons together."""
+    """Maximum number of connections to one server from all daemons together."""
 
     health_path: str | None = None
     pipeline: Pipeline | None = None
-    """Set when the service is a model whose layers are spread over its servers."""
+    """Set if the service is a model whose layers are distributed over its servers."""
 
 
 class Account(msgspec.Struct, forbid_unknown_fields=True):
@@ -97,7 +97,7 @@
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator: the subtree they steer and the SHA-256 of their key, in hex."""
+    """An operator: the subtree they may change and the SHA-256 of their key, in hex."""
 
     subtree: GroupPath
     key_sha256: str
@@ -106,8 +106,8 @@
 class Placement(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True, frozen=True):
     """How servers are moved to other versions.
 
-    ``loads_at_once`` keeps to the weight store's rate. ``keep_part`` is the
-    part of the servers of a range of layers that goes on serving meanwhile.
+    ``loads_at_once`` limits concurrent loads, to respect the rate of the weight store. ``keep_part`` is
+    the fraction of the servers of a layer range that keeps serving meanwhile.
     """
 
     loads_at_once: int = 2
@@ -115,7 +115,7 @@
 
 
 class CallerLimits(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True, frozen=True):
-    """What one caller may send and how long it may take; bytes and seconds."""
+    """Limits on the requests of one caller, in bytes and seconds."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 1024 * 1024
@@ -124,7 +124,7 @@
 
 
 class Tree(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """One revision of all that operators steer."""
+    """One revision of everything that operators configure."""
 
     root: Level = msgspec.field(default_factory=Level)
     models: dict[ModelName, Model] = msgspec.field(default_factory=dict)
@@ -134,18 +134,18 @@
     operators: dict[str, Operator] = msgspec.field(default_factory=dict)
     placement: Placement = Placement()
     links: dict[str, float] = msgspec.field(default_factory=dict)
-    """Milliseconds one way between two data halls, keyed ``"a b"`` in name order."""
+    """One-way delay between two data halls in milliseconds, keyed ``"a b"`` in alphabetical order."""
 
     endpoints: list[Endpoint] = msgspec.field(default_factory=list)
     caller_limits: CallerLimits = CallerLimits()
 
 
 Value = str | float | int | None
-"""A value of a field of a level."""
+"""The value of a field of a level."""
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """A value in force for a group and the level that it comes from."""
+    """A value in force for a group and the level that defines it."""
 
     field: str
     value: Value
@@ -153,7 +153,7 @@
 
 
 def path_of_parent(path: GroupPath) -> GroupPath:
-    """Return the group one level above, or the root.
+    """Return the parent of a group; the root for a top-level group.
 
     :param path: a group.
     :return: the path without its last name.
@@ -162,7 +162,7 @@
 
 
 def lineage(path: GroupPath) -> list[GroupPath]:
-    """List a group and all levels above it, the root first.
+    """List a group and all levels above it, starting at the root.
 
     :param path: a group.
     :return: paths from the root down to the group.
@@ -172,11 +172,11 @@
 
 
 def contains(subtree: GroupPath, path: GroupPath) -> bool:
-    """Tell whether a group lies in a subtree.
+    """Return whether a group is in a subtree.
 
     :param subtree: the top of the subtree.
-    :param path: the group asked about.
-    :return: true when it is the top itself or below it.
+    :param path: the group to check.
+    :return: true for the top itself and everything below it.
     """
     return not subtree or path == subtree or path.startswith(subtree + "/")
 
@@ -192,13 +192,13 @@
     level = tree.root
     for name in path.split("/") if path else []:
         if name not in level.groups:
-            raise NotFound(f"no group {path!r}", step="settings")
+            raise NotFound(f"no such group: {path!r}", step="settings")
         level = level.groups[name]
     return level
 
 
 def walk(level: Level, path: GroupPath = ROOT) -> Iterator[tuple[GroupPath, Level]]:
-    """Visit a level and all below it, the upper ones first.
+    """Iterate over a level and all levels below it, parents before children.
 
     :param level: where to start.
     :param path: the path of that level.
@@ -210,13 +210,13 @@
 
 
 def explain(tree: Tree, path: GroupPath, field: str) -> Explanation:
-    """Tell which value of a field is in force for a group, and from which level.
+    """Return the value of a field that is in force for a group, and the level that defines it.
 
     :param tree: the settings.
     :param path: the group.
     :param field: ``share``, ``priority``, ``deadline_seconds``, a limit such as
         ``limits.in_flight``, or ``versions.MODEL``.
-    :return: the value and its level; no level when it is the default.
+    :return: the value and its level; the level is None for a default value.
     :raises NotFound: when the group or the field does not exist.
     """
     if field == "share":
@@ -236,7 +236,7 @@
         return cast(Value, getattr(level.limits, rest))
     if head == "versions" and rest:
         return level.versions.get(ModelName(rest))
-    raise NotFound(f"no field {field!r} in a level", step="settings")
+    raise NotFound(f"a level has no field {field!r}", step="settings")
 
 
 def _default_value(tree: Tree, field: str) -> Value:
@@ -249,17 +249,17 @@
         return None
     model = tree.models.get(ModelName(rest))
     if model is None:
-        raise NotFound(f"no model {rest!r}", step="settings")
+        raise NotFound(f"no such model: {rest!r}", step="settings")
     return model.version
 
 
 def priority_of(tree: Tree, path: GroupPath) -> int:
-    """Return the priority in force for a group; larger goes first."""
+    """Return the priority in force for a group; higher values are served first."""
     return int(explain(tree, path, "priority").value)  # type: ignore[arg-type]
 
 
 def deadline_of(tree: Tree, path: GroupPath) -> float:
-    """Return the seconds a request of a group may take unless it says less."""
+    """Return the default deadline of a group's requests, in seconds; a request may set a shorter one."""
     return float(explain(tree, path, "deadline_seconds").value)  # type: ignore[arg-type]
 
 
@@ -274,7 +274,7 @@
     :param tree: the settings.
     :param one: a data hall.
     :param other: a data hall.
-    :return: milliseconds; zero inside a hall or where nothing is set.
+    :return: milliseconds; zero within a hall or when not configured.
     """
     if one == other:
         return 0.0
@@ -282,7 +282,7 @@
 
 
 def encode(tree: Tree) -> bytes:
-    """Write a tree as canonical JSON: keys sorted, defaults left out."""
+    """Encode a tree as canonical JSON: sorted keys, defaults left out."""
     return msgspec.json.encode(tree, order="sorted")
 
 
@@ -292,14 +292,14 @@
 
 
 def decode(document: bytes) -> Tree:
-    """Read and check a tree.
+    """Decode and validate a tree.
 
     :param document: JSON.
-    :return: the checked tree.
-    :raises InvalidSettings: naming the field, when a rule is broken.
+    :return: the validated tree.
+    :raises InvalidSettings: when a rule is broken; the message names the field.
     """
     if len(document) > MAX_DOCUMENT_BYTES:
-        raise InvalidSettings(f"settings above {MAX_DOCUMENT_BYTES} bytes", step="settings")
+        raise InvalidSettings(f"settings document exceeds {MAX_DOCUMENT_BYTES} bytes", step="settings")
     try:
         tree = msgspec.json.decode(document, type=Tree)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -309,10 +309,10 @@
 
 
 def check(tree: Tree) -> None:
-    """Check the rules that types alone do not express.
+    """Validate the rules that types alone do not express.
 
     :param tree: the tree.
-    :raises InvalidSettings: naming the field, at the first broken rule.
+    :raises InvalidSettings: at the first broken rule; the message names the field.
     """
     for path, level in walk(tree.root):
         _check_level(tree, path, level)
@@ -346,14 +346,16 @@
         value = getattr(level.limits, field)
         _require(value is None or value >= 0, f"{where}.limits.{field}", "must not be negative")
     for model in level.versions:
-        _require(model in tree.models, f"{where}.versions.{model}", "names no model")
+        _require(model in tree.models, f"{where}.versions.{model}", "refers to an unknown model")
     for name in level.groups:
         _require(bool(name) and "/" not in name, f"{where}.groups.{name}", "must be a name without '/'")
 
 
 def _check_backend(tree: Tree, backend_id: BackendId, backend: Backend) -> None:
     where = f"backends.{backend_id}"
-    _require(backend.model in tree.models, f"{where}.model", f"names no model: {backend.model!r}")
+    _require(
+        backend.model in tree.models, f"{where}.model", f"refers to an unknown model: {backend.model!r}"
+    )
     layers = tree.models[backend.model].layers
     _require(
         0 <= backend.first < backend.last <= layers,
@@ -366,12 +368,12 @@
     try:
         level_at(tree, path)
     except NotFound as error:
-        raise InvalidSettings(f"{where}: names no group: {path!r}", step="settings") from error
+        raise InvalidSettings(f"{where}: refers to an unknown group: {path!r}", step="settings") from error
 
 
 def _check_sha256(text: str, where: str) -> None:
     good = len(text) == 64 and all(c in "0123456789abcdef" for c in text)
-    _require(good, where, "must be 64 lower-case hex digits")
+    _require(good, where, "must be 64 lowercase hexadecimal digits")
 
 
 def _check_keys_unique(tree: Tree) -> None:
@@ -379,7 +381,7 @@
     holders = [(f"accounts.{n}", a.key_sha256) for n, a in tree.accounts.items()]
     holders += [(f"operators.{n}", o.key_sha256) for n, o in tree.operators.items()]
     for where, key in holders:
-        _require(key not in seen, f"{where}.key_sha256", f"is the key of {seen.get(key)} too")
+        _require(key not in seen, f"{where}.key_sha256", f"is also the key of {seen.get(key)}")
         seen[key] = where
 
 
