--- a/bayglade/catchup.py
+++ b/bayglade/catchup.py
@@ -60,7 +60,7 @@
         late = now() - self.known_since >= CATCH_UP_TIMEOUT
         if not late and not self._confirmed(others):
             return False
-        self.intake.catch_up()
+        self.intake.confirm_settings()
         event(
             "WARNING" if late else "INFO",
             "settings not confirmed" if late else "settings confirmed",
--- a/bayglade/division.py
+++ b/bayglade/division.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from bayglade.ids import GroupPath
-from bayglade.settings import path_of_parent
+from bayglade.settings import parent_path
 
 EVEN_PART = 0.1
 """Part of the pool that is divided evenly, for requests that nobody foresaw."""
@@ -33,7 +33,7 @@
         path = leaf
         totals[path] = totals.get(path, 0.0) + demand
         while path:
-            parent = path_of_parent(path)
+            parent = parent_path(path)
             children.setdefault(parent, set()).add(path)
             totals[parent] = totals.get(parent, 0.0) + demand
             path = parent
--- a/bayglade/fairness.py
+++ b/bayglade/fairness.py
@@ -11,7 +11,7 @@
 
 from bayglade.clock import now
 from bayglade.ids import GroupPath
-from bayglade.settings import lineage
+from bayglade.settings import ancestors_and_self
 from bayglade.usage import Usage
 
 LATE_FRACTION = 0.5
@@ -167,7 +167,7 @@
 
     def _nodes(self, group: GroupPath) -> list[_Node[EntryT]]:
         nodes = [self.root]
-        for path in lineage(group)[1:]:
+        for path in ancestors_and_self(group)[1:]:
             children = nodes[-1].children
             if path not in children:
                 children[path] = _Node(path)
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -30,7 +30,7 @@
 )
 from bayglade.heads import Message
 from bayglade.ids import RequestId
-from bayglade.intake import ELSEWHERE_SECONDS, Intake
+from bayglade.intake import RETRY_ELSEWHERE_SECONDS, Intake
 from bayglade.leases import Lease
 from bayglade.listener import Connection, Handler, listen, serve
 from bayglade.listing import Listing
@@ -212,7 +212,7 @@
             and self.intake.version > 0
             and self.intake.caught_up
             and bool(self.fleet.servers)
-            and self.intake.trusted()
+            and self.intake.keys_trusted()
         )
 
     def _feeds(self) -> tuple[Feed, ...]:
@@ -289,7 +289,7 @@
         if not self.draining or now() - self.draining_since < ACCEPT_SECONDS:
             return
         if call.deadline > self._ends_at():
-            again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+            again = spread_retry_after(RETRY_ELSEWHERE_SECONDS, self.rng, RETRY_ELSEWHERE_SECONDS)
             raise Stopping("this daemon stops", step="intake", retry_after=again)
 
     def _ends_at(self) -> float:
@@ -333,7 +333,7 @@
         except InvalidSettings as error:
             event("ERROR", "settings refused", error=repr(error), in_force=self.intake.version)
             return
-        self.intake.take(version, tree, bytes(value))
+        self.intake.apply(version, tree, bytes(value))
 
     def _tidy(self) -> None:
         """Do what is due now and then, for ever."""
--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -23,13 +23,13 @@
 TRUST_MARGIN = 1.2
 """Safety margin in seconds below the bound on the age of keys, at which requests with keys are refused.
 Sending takes time, and a feed may receive nothing for a second while the store discards its history."""
-STALE_OF_TRUST = 0.75
+STALE_FRACTION = 0.75
 """Fraction of that bound beyond which settings are too old to reject a key or path permanently: newer
 settings may allow the request."""
 HOLD_SECONDS = 0.3
 """Seconds for which a call waits for other daemons to confirm the settings; confirmation takes a fraction
 of that when they are running."""
-ELSEWHERE_SECONDS = 0.03
+RETRY_ELSEWHERE_SECONDS = 0.03
 """Retry-After in seconds where another daemon can answer at once; a client's retry then reaches another
 one."""
 
@@ -86,9 +86,9 @@
         except InvalidSettings as error:
             event("ERROR", "settings refused", error=repr(error), in_force=self.version)
             return
-        self.take(version, tree, document)
+        self.apply(version, tree, document)
 
-    def take(self, version: int, tree: Tree, document: bytes) -> None:
+    def apply(self, version: int, tree: Tree, document: bytes) -> None:
         """Apply settings as a whole if they are newer.
 
         :param version: their version.
@@ -134,13 +134,13 @@
         head = self.dialect.read_call(message)
         if not self.version:
             raise self._cut_off("no settings are known yet")
-        if not self.caught_up and not self._await_others():
+        if not self.caught_up and not self._await_confirmation():
             raise self._cut_off("other daemons may have newer settings")
         try:
             endpoint = self.endpoints.find(head.host, message.target.decode("latin-1"))
             group = self._group(head, endpoint)
         except (NotFound, Unauthenticated) as error:
-            if self.age() > STALE_OF_TRUST * self.key_trust:
+            if self.age() > STALE_FRACTION * self.key_trust:
                 raise self._cut_off("the settings known here may be outdated") from error
             raise
         seconds = endpoint.timeout if head.seconds is None else min(head.seconds, endpoint.timeout)
@@ -160,13 +160,13 @@
         self.check(call)
         return call
 
-    def catch_up(self) -> None:
+    def confirm_settings(self) -> None:
         """Record that other daemons have no newer settings, as far as can be determined."""
         self.caught_up = True
         if not self.confirmed.ready():
             self.confirmed.send()
 
-    def _await_others(self) -> bool:
+    def _await_confirmation(self) -> bool:
         """Hold a call while other daemons are asked for newer settings; return whether it may continue.
 
         After a restart of all daemons all callers arrive at once, and each refusal costs them an attempt.
@@ -175,7 +175,7 @@
             self.confirmed.wait()
         return self.caught_up
 
-    def trusted(self) -> bool:
+    def keys_trusted(self) -> bool:
         """Return whether the known keys are recent enough to run requests that carry one."""
         return self.age() <= self.key_trust - TRUST_MARGIN
 
@@ -192,7 +192,7 @@
         """
         if call.group is None:
             return
-        if not self.trusted():
+        if not self.keys_trusted():
             raise self._cut_off("the keys known here are too old to trust")
         if self.tree.accounts and self.directory.account(call.head.key or "").group != call.group:
             raise Unauthenticated(
@@ -210,5 +210,5 @@
         return priority_of(self.tree, group)
 
     def _cut_off(self, message: str) -> BaygladeError:
-        again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+        again = spread_retry_after(RETRY_ELSEWHERE_SECONDS, self.rng, RETRY_ELSEWHERE_SECONDS)
         return CutOff(message, step="intake", retry_after=again)
--- a/bayglade/limits.py
+++ b/bayglade/limits.py
@@ -4,7 +4,7 @@
 from bayglade.clock import now
 from bayglade.exceptions import LimitExceeded
 from bayglade.ids import GroupPath
-from bayglade.settings import Level, Limits, Tree, level_at, lineage
+from bayglade.settings import Level, Limits, Tree, ancestors_and_self, level_at
 from bayglade.usage import Usage
 
 BUSY_RETRY_AFTER = 1.0
@@ -38,7 +38,7 @@
         :raises LimitExceeded: with when to come back.
         """
         at = now()
-        levels = [(path, level_at(tree, path)) for path in lineage(group)]
+        levels = [(path, level_at(tree, path)) for path in ancestors_and_self(group)]
         for path, level in levels:
             if level.limits == UNLIMITED:
                 continue
@@ -52,7 +52,7 @@
 
     def leave(self, group: GroupPath) -> None:
         """Give back the place of a request that ended."""
-        for path in lineage(group):
+        for path in ancestors_and_self(group):
             self.in_flight[path] -= 1
             if not self.in_flight[path]:
                 del self.in_flight[path]
--- a/bayglade/operators/api.py
+++ b/bayglade/operators/api.py
@@ -210,7 +210,7 @@
     if not subtree:
         return True
     top = ("root", *(part for name in subtree.split("/") for part in ("groups", name)))
-    return all(path[: len(top)] == top for path in patches.touched(msgspec.json.decode(row.patch)))
+    return all(path[: len(top)] == top for path in patches.touched_paths(msgspec.json.decode(row.patch)))
 
 
 def _entry(row: AuditRow) -> wire.AuditEntry:
--- a/bayglade/operators/changes.py
+++ b/bayglade/operators/changes.py
@@ -181,7 +181,7 @@
 
 def _patch_rows(document: dict[str, Any], patch: dict[str, Any]) -> list[list[str]]:
     rows = []
-    for path in patches.touched(patch):
+    for path in patches.touched_paths(patch):
         old: Any = document
         new: Any = patch
         for name in path:
--- a/bayglade/operators/commands.py
+++ b/bayglade/operators/commands.py
@@ -101,7 +101,7 @@
                 time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(entry.at)),
                 entry.operator,
                 entry.address,
-                ", ".join(".".join(path) for path in patches.touched(entry.patch)),
+                ", ".join(".".join(path) for path in patches.touched_paths(entry.patch)),
                 entry.note,
             ]
             for entry in entries
--- a/bayglade/patches.py
+++ b/bayglade/patches.py
@@ -44,7 +44,7 @@
     return result
 
 
-def touched(patch: JsonObject, prefix: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+def touched_paths(patch: JsonObject, prefix: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
     """List the paths that a patch sets or removes.
 
     :param patch: a merge patch.
@@ -55,7 +55,7 @@
     for key, value in patch.items():
         path = (*prefix, key)
         if isinstance(value, dict) and value:
-            paths.extend(touched(value, path))
+            paths.extend(touched_paths(value, path))
         else:
             paths.append(path)
     return paths
--- a/bayglade/revisions.py
+++ b/bayglade/revisions.py
@@ -29,8 +29,8 @@
 from bayglade.table import Platform
 
 HEAD_KEY = "settings/head"
-LOST_TRIES = 20
-LOST_PAUSE = 0.25
+COMMIT_ATTEMPTS = 20
+COMMIT_RETRY_DELAY = 0.25
 MAX_HISTORY = 100
 
 
@@ -99,7 +99,7 @@
         self.on_change = on_change
         self.current = EMPTY
         self.known_at = 0.0
-        self.went_back = False
+        self.head_went_back = False
 
     def __repr__(self) -> str:
         return f"<Revisions {self.current.revision}>"
@@ -113,7 +113,7 @@
         asked, known = now(), self.current
         row = self.platform.read([HEAD_KEY]).get(HEAD_KEY)
         head = msgspec.json.decode(row.value, type=Head) if row else Head(Revision(0), Digest(""))
-        self._check_not_back(head, known)
+        self._check_head_not_behind(head, known)
         if head.revision > self.current.revision:
             self.offer(head.revision, head.digest, self.platform.get_object(head.digest))
         self.known_at = max(self.known_at, asked)
@@ -152,14 +152,14 @@
         # All of the following uses this revision: another one may come into force meanwhile.
         before = self.current
         if change.base != before.revision:
-            return self._repeated(change) or self._conflict(change)
-        after = _next(before, change, author)
+            return self._already_applied(change) or self._conflict(change)
+        after = _derive_revision(before, change, author)
         self.platform.put_object(after.digest, after.document)
         if self._commit(change, author, before, after):
             self.offer(after.revision, after.digest, after.document)
             return after
         self.poll()
-        return self._repeated(change) or self._conflict(change)
+        return self._already_applied(change) or self._conflict(change)
 
     def check(self, change: Change, author: Author) -> Current:
         """Check a change against the settings in force without storing it.
@@ -174,7 +174,7 @@
         before = self.current
         if change.base != before.revision:
             return self._conflict(change)
-        return _next(before, change, author)
+        return _derive_revision(before, change, author)
 
     def history(self, count: int) -> list[AuditRow]:
         """Read the latest audit rows, newest first.
@@ -189,12 +189,12 @@
         rows = self.platform.read(keys)
         return [msgspec.json.decode(rows[key].value, type=AuditRow) for key in keys if key in rows]
 
-    def _check_not_back(self, head: Head, known: Current) -> None:
+    def _check_head_not_behind(self, head: Head, known: Current) -> None:
         """Check that the head is not behind what was in force before it was read."""
         older = head.revision < known.revision
         other = head.revision == known.revision and head.digest != known.digest
-        self.went_back = older or other
-        if not self.went_back:
+        self.head_went_back = older or other
+        if not self.head_went_back:
             return
         event("ERROR", "settings went back", head=head.revision, in_force=known.revision)
         raise SettingsWentBack(
@@ -204,9 +204,9 @@
         )
 
     def _commit(self, change: Change, author: Author, before: Current, after: Current) -> bool:
-        transaction = _transaction(change, author, before, after)
+        transaction = _change_transaction(change, author, before, after)
         lost = False
-        for _ in range(LOST_TRIES):
+        for _ in range(COMMIT_ATTEMPTS):
             try:
                 return self.platform.transact(transaction).committed
             except PlatformAnswerLost:
@@ -215,10 +215,10 @@
                 if not lost:
                     raise
             # The conditions are the same when it is sent again, so it is committed at most once.
-            eventlet.sleep(LOST_PAUSE)
+            eventlet.sleep(COMMIT_RETRY_DELAY)
         raise PlatformAnswerLost("the change may have been committed", step="apply", retry_after=2.0)
 
-    def _repeated(self, change: Change) -> Current | None:
+    def _already_applied(self, change: Change) -> Current | None:
         """Return the revision in force if this change was committed by an earlier request."""
         row = self.platform.read([_change_key(change.id)]).get(_change_key(change.id))
         return self.current if row is not None else None
@@ -226,7 +226,7 @@
     def _conflict(self, change: Change) -> Current:
         names = [
             f"{row.revision} by {row.operator}: "
-            + ", ".join(".".join(path) for path in patches.touched(msgspec.json.decode(row.patch)))
+            + ", ".join(".".join(path) for path in patches.touched_paths(msgspec.json.decode(row.patch)))
             for row in self.history(MAX_HISTORY)
             if row.revision > change.base
         ]
@@ -237,17 +237,19 @@
         )
 
 
-def _next(before: Current, change: Change, author: Author) -> Current:
+def _derive_revision(before: Current, change: Change, author: Author) -> Current:
     """Compute the revision that results from a change."""
     _check_scope(change.patch, author.subtree)
     document = msgspec.json.decode(before.document)
     tree = settings.decode(msgspec.json.encode(patches.apply(document, change.patch)))
-    _check_accounts_stay(before.tree, tree, change.patch, author.subtree)
+    _check_account_scope(before.tree, tree, change.patch, author.subtree)
     content = settings.encode(tree)
     return Current(Revision(before.revision + 1), settings.digest_of(content), content, tree)
 
 
-def _transaction(change: Change, author: Author, before: Current, after: Current) -> rows.Transaction:
+def _change_transaction(
+    change: Change, author: Author, before: Current, after: Current
+) -> rows.Transaction:
     """Build the transaction that moves the head and adds the audit row atomically."""
     old, new = msgspec.json.decode(before.document), msgspec.json.decode(after.document)
     audit = AuditRow(
@@ -290,13 +292,13 @@
         return
     top = ("root", *(part for name in subtree.split("/") for part in ("groups", name)))
     own = {"groups", "versions", "deadline_seconds"}
-    for path in patches.touched(patch):
+    for path in patches.touched_paths(patch):
         inside = path[: len(top)] == top and len(path) > len(top) and path[len(top)] in own
         if not inside and not (path[0] == "accounts" and len(path) > 1):
             raise Forbidden(f"{'.'.join(path)} is outside {subtree!r}", step="apply", peer="operator")
 
 
-def _check_accounts_stay(before: Tree, after: Tree, patch: dict[str, Any], subtree: GroupPath) -> None:
+def _check_account_scope(before: Tree, after: Tree, patch: dict[str, Any], subtree: GroupPath) -> None:
     """Check that accounts which a change touches are in the author's subtree before and after."""
     accounts = patch.get("accounts") or {}
     for name in accounts:
--- a/bayglade/settings.py
+++ b/bayglade/settings.py
@@ -152,7 +152,7 @@
     level: GroupPath | None
 
 
-def path_of_parent(path: GroupPath) -> GroupPath:
+def parent_path(path: GroupPath) -> GroupPath:
     """Return the parent of a group; the root for a top-level group.
 
     :param path: a group.
@@ -161,7 +161,7 @@
     return GroupPath(path.rpartition("/")[0])
 
 
-def lineage(path: GroupPath) -> list[GroupPath]:
+def ancestors_and_self(path: GroupPath) -> list[GroupPath]:
     """List a group and all levels above it, starting at the root.
 
     :param path: a group.
@@ -221,7 +221,7 @@
     """
     if field == "share":
         return Explanation(field, level_at(tree, path).share, path)
-    for candidate in reversed(lineage(path)):
+    for candidate in reversed(ancestors_and_self(path)):
         value = _own_value(level_at(tree, candidate), field)
         if value is not None:
             return Explanation(field, value, candidate)
@@ -316,15 +316,15 @@
     """
     for path, level in walk(tree.root):
         _check_level(tree, path, level)
-    _require(tree.placement.loads_at_once > 0, "placement.loads_at_once", "must be above zero")
-    _require(0 <= tree.placement.keep_part < 1, "placement.keep_part", "must lie in [0, 1)")
+    _ensure(tree.placement.loads_at_once > 0, "placement.loads_at_once", "must be above zero")
+    _ensure(0 <= tree.placement.keep_part < 1, "placement.keep_part", "must lie in [0, 1)")
     for name, model in tree.models.items():
-        _require(model.layers > 0, f"models.{name}.layers", "must be above zero")
+        _ensure(model.layers > 0, f"models.{name}.layers", "must be above zero")
     for backend_id, backend in tree.backends.items():
         _check_backend(tree, backend_id, backend)
     for service_name, service in tree.services.items():
-        _require(bool(service.servers), f"services.{service_name}.servers", "must not be empty")
-        _require(
+        _ensure(bool(service.servers), f"services.{service_name}.servers", "must not be empty")
+        _ensure(
             service.timeout_seconds > 0, f"services.{service_name}.timeout_seconds", "must be above zero"
         )
     for account_name, account in tree.accounts.items():
@@ -338,26 +338,26 @@
 
 def _check_level(tree: Tree, path: GroupPath, level: Level) -> None:
     where = "root" + "".join(f".groups.{name}" for name in path.split("/") if name)
-    _require(path.count("/") < MAX_DEPTH, where, f"is nested deeper than {MAX_DEPTH}")
-    _require(0 < level.share < float("inf"), f"{where}.share", "must be above zero and finite")
+    _ensure(path.count("/") < MAX_DEPTH, where, f"is nested deeper than {MAX_DEPTH}")
+    _ensure(0 < level.share < float("inf"), f"{where}.share", "must be above zero and finite")
     if level.deadline_seconds is not None:
-        _require(level.deadline_seconds > 0, f"{where}.deadline_seconds", "must be above zero")
+        _ensure(level.deadline_seconds > 0, f"{where}.deadline_seconds", "must be above zero")
     for field in Limits.__struct_fields__:
         value = getattr(level.limits, field)
-        _require(value is None or value >= 0, f"{where}.limits.{field}", "must not be negative")
+        _ensure(value is None or value >= 0, f"{where}.limits.{field}", "must not be negative")
     for model in level.versions:
-        _require(model in tree.models, f"{where}.versions.{model}", "refers to an unknown model")
+        _ensure(model in tree.models, f"{where}.versions.{model}", "refers to an unknown model")
     for name in level.groups:
-        _require(bool(name) and "/" not in name, f"{where}.groups.{name}", "must be a name without '/'")
+        _ensure(bool(name) and "/" not in name, f"{where}.groups.{name}", "must be a name without '/'")
 
 
 def _check_backend(tree: Tree, backend_id: BackendId, backend: Backend) -> None:
     where = f"backends.{backend_id}"
-    _require(
+    _ensure(
         backend.model in tree.models, f"{where}.model", f"refers to an unknown model: {backend.model!r}"
     )
     layers = tree.models[backend.model].layers
-    _require(
+    _ensure(
         0 <= backend.first < backend.last <= layers,
         f"{where}.first",
         f"layers [{backend.first}, {backend.last}) do not lie in [0, {layers})",
@@ -373,7 +373,7 @@
 
 def _check_sha256(text: str, where: str) -> None:
     good = len(text) == 64 and all(c in "0123456789abcdef" for c in text)
-    _require(good, where, "must be 64 lowercase hexadecimal digits")
+    _ensure(good, where, "must be 64 lowercase hexadecimal digits")
 
 
 def _check_keys_unique(tree: Tree) -> None:
@@ -381,10 +381,10 @@
     holders = [(f"accounts.{n}", a.key_sha256) for n, a in tree.accounts.items()]
     holders += [(f"operators.{n}", o.key_sha256) for n, o in tree.operators.items()]
     for where, key in holders:
-        _require(key not in seen, f"{where}.key_sha256", f"is also the key of {seen.get(key)}")
+        _ensure(key not in seen, f"{where}.key_sha256", f"is also the key of {seen.get(key)}")
         seen[key] = where
 
 
-def _require(condition: bool, where: str, what: str) -> None:
+def _ensure(condition: bool, where: str, what: str) -> None:
     if not condition:
         raise InvalidSettings(f"{where}: {what}", step="settings")
--- a/bayglade/usage.py
+++ b/bayglade/usage.py
@@ -8,7 +8,7 @@
 
 from bayglade.clock import Decayed, now
 from bayglade.ids import GroupPath, MemberId
-from bayglade.settings import contains, lineage
+from bayglade.settings import ancestors_and_self, contains
 
 USAGE_TAU = 5.0
 """Seconds in which a count falls to 1/e."""
@@ -47,7 +47,7 @@
         """
         at = now()
         _add(self.own_leaves, path, tokens, at)
-        for level in lineage(path):
+        for level in ancestors_and_self(path):
             _add(self.local, level, tokens, at)
 
     def total(self, path: GroupPath, at: float) -> float:
@@ -128,7 +128,7 @@
         """Replace one count of another daemon, and what the levels above have of it."""
         change = amount - _read(served, path, at)
         served[path] = _decayed(amount, at)
-        for level in lineage(path):
+        for level in ancestors_and_self(path):
             _add(self.remote_total, level, change, at)
 
     def _forget(self, at: float) -> None:
--- a/tests/test_catchup.py
+++ b/tests/test_catchup.py
@@ -29,7 +29,7 @@
 def intake(clock: ManualClock) -> Intake:
     made = Intake(SimpleNamespace(), lambda: 0.0, 5.0, random.Random(1))  # type: ignore[arg-type]
     made.caught_up = False
-    made.take(7, Tree(), b"7")
+    made.apply(7, Tree(), b"7")
     return made
 
 
@@ -42,7 +42,7 @@
 
 
 def test_a_call_is_held_for_the_moment_in_which_others_confirm(intake: Intake) -> None:
-    held = eventlet.spawn(intake._await_others)
+    held = eventlet.spawn(intake._await_confirmation)
     eventlet.sleep(0)
     CatchUp(intake).check(set())
     assert held.wait()
@@ -61,7 +61,7 @@
     for member in (A, B, C):
         catch_up.record(member, Revision(9 if member == C else 7), True)
     assert not catch_up.check({A, B, C})
-    intake.take(9, Tree(), b"9")
+    intake.apply(9, Tree(), b"9")
     assert catch_up.check({A, B, C})
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -59,7 +59,7 @@
     keyed: Any = SimpleNamespace(group="clinic")
     intake.check(keyed)
     suspend(KEY_TRUST)
-    assert not intake.trusted()
+    assert not intake.keys_trusted()
     with pytest.raises(CutOff):
         intake.check(keyed)
 
