--- a/bayglade/entries/__init__.py
+++ b/bayglade/entries/__init__.py
@@ -1,4 +1,4 @@
-"""The other entry daemons: streams between them, membership and what they share."""
+"""Communication with the other entry daemons: streams, membership and shared state."""
 
 from bayglade.entries.membership import Membership
 
--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -1,8 +1,8 @@
-"""Membership: which daemons live, and what they tell each other.
+"""Membership: which daemons are alive, and the messages they exchange.
 
-Every daemon sends heartbeats to its neighbours: all others while they are few,
-those at distances 1, 2, 4 ... on the ring of names beyond. The host list says
-who should be there; heartbeats say who is.
+Every daemon sends heartbeats to its neighbours: all others in a small site, those at distances
+1, 2, 4 ... on the ring of names in a large one. The host list says which daemons should exist;
+heartbeats show which are alive.
 """
 
 import random
@@ -28,24 +28,24 @@
 
 LOST_AFTER = 3.5
 UNHEARD_SECONDS = 3.0
-"""A stream on which the other side says to have heard nothing for so long is dialled anew."""
+"""A stream is dialled again once the other side reports having heard nothing for so long."""
 REDIAL_MIN = 0.1
 REDIAL_MAX = 2.0
 MAX_OUTBOX = 32
-"""Messages that wait for a daemon which cannot be reached; whoever needs an answer asks again."""
+"""Limit on messages queued for an unreachable daemon; a sender that needs an answer asks again."""
 
 
 class Offered(Protocol):
-    """Settings in force, and whoever takes newer ones."""
+    """Holds the settings in force and accepts newer ones."""
 
     current: Current
 
     def offer(self, revision: Revision, digest: Digest, document: bytes) -> object:
-        """Take in settings that another daemon has, if they are newer and whole."""
+        """Apply settings received from another daemon if they are newer and complete."""
 
 
 class Member:
-    """Another daemon as known here; times are monotonic seconds."""
+    """Another daemon in the view of this one; times are monotonic seconds."""
 
     __slots__ = (
         "added_at",
@@ -70,14 +70,14 @@
         self.heard_at = 0.0
         self.revision = Revision(0)
         self.ahead_since: float | None = None
-        """Since when it is known to have newer settings than this daemon."""
+        """When it was first known to have newer settings than this daemon; None if it has none."""
 
         self.draining = False
         self.outbox: list[wire.Message] = []
         self.beat_due = True
         self.wake = Event()
         self.stream: streams.OutStream | None = None
-        """The stream on which this daemon sends, while there is one."""
+        """The stream on which this daemon sends to it, if there is one."""
 
         self.stream_since = 0.0
         self.task: eventlet.greenthread.GreenThread | None = None
@@ -86,17 +86,17 @@
         return f"<Member {self.id} revision={self.revision} draining={self.draining}>"
 
     def live(self, at: float) -> bool:
-        """Tell whether it was heard lately."""
+        """Return whether it was heard recently."""
         return at - self.heard_at < LOST_AFTER
 
     def wait(self, seconds: float) -> None:
-        """Wait before dialling again, less when there is something to send."""
+        """Wait before dialling again, or until there is something to send."""
         self.wake = Event()
         with eventlet.Timeout(seconds, False):
             self.wake.wait()
 
     def push(self, message: wire.Message | None = None) -> None:
-        """Have the sending task send a message, or a heartbeat when there is none, at once."""
+        """Queue a message, or a heartbeat if none is given, and wake the sending task."""
         if message is None:
             self.beat_due = True
         elif len(self.outbox) < MAX_OUTBOX:
@@ -106,7 +106,7 @@
 
 
 class Membership:
-    """The other daemons, one sending task for each neighbour."""
+    """The other daemons, with one sending task per neighbour."""
 
     def __init__(
         self,
@@ -133,13 +133,13 @@
         self.members: dict[MemberId, Member] = {}
         self.draining = False
         self.sums_for: Callable[[MemberId], wire.Sums] = lambda member: wire.Sums()
-        """Returns what another daemon is told of requests under way."""
+        """Returns the sums of requests in progress to send to another daemon."""
 
         self.on_due: Callable[[], None] = lambda: None
-        """Told before the heartbeats of each turn."""
+        """Called before each round of heartbeats."""
 
         self.heard: dict[MemberId, float] = {}
-        """When each daemon was heard last, on whatever message."""
+        """When each daemon was last heard, through any message."""
 
         self.on_poll: Callable[[MemberId, wire.Poll], None] = lambda member, poll: None
         self.on_updates: Callable[[MemberId, wire.Updates], None] = lambda member, updates: None
@@ -148,7 +148,7 @@
         )
         self.on_findings: Callable[[MemberId, wire.Findings], None] = lambda member, message: None
         self.greet: Callable[[], list[wire.Findings]] = list
-        """Returns what is sent first on each new stream to another daemon."""
+        """Returns the messages to send first on each new stream to another daemon."""
 
         self.on_borrow: Callable[[MemberId, wire.Borrow], None] = lambda member, message: None
         self.on_lent: Callable[[MemberId, wire.Lent], None] = lambda member, message: None
@@ -156,11 +156,11 @@
         self.on_quota_reply: Callable[[MemberId, wire.QuotaReply], None] = lambda member, message: None
         self.on_quota_return: Callable[[MemberId, wire.QuotaReturn], None] = lambda member, message: None
         self.caught_up: Callable[[], bool] = lambda: True
-        """Tells whether others were asked for newer settings."""
+        """Returns whether others were asked for newer settings."""
 
         self.fetch_after = 0.0
-        """Seconds for which another daemon must be known to have newer settings before they are
-        asked for: more than nothing where they come by another way too."""
+        """Seconds for which another daemon must be known to have newer settings before they are fetched
+        from it. Above zero where they also arrive another way."""
 
         self.last_patch: wire.Patch | None = None
         self.beat_at = 0.0
@@ -172,19 +172,19 @@
         return f"<Membership {len(self.live())} of {len(self.listed)} live>"
 
     def live(self) -> list[Member]:
-        """List the other daemons heard lately."""
+        """List the other daemons heard recently."""
         at = now()
         return [member for member in self.members.values() if member.live(at)]
 
     def count(self) -> int:
-        """Return how many daemons there are, as far as can be told from here."""
+        """Return the number of daemons, as far as can be told from here."""
         everybody_near = len(self.members) >= len(self.listed) - 1
         return len(self.live()) + 1 if everybody_near else len(self.listed)
 
     def silent(self, seconds: float) -> list[MemberId]:
         """List the daemons that this one has a stream to and has not heard for some time.
 
-        :param seconds: the time; a stream that is younger does not count.
+        :param seconds: the time; a daemon that was added more recently does not count.
         """
         oldest = now() - seconds
         return [
@@ -194,19 +194,19 @@
         ]
 
     def stopping(self) -> set[MemberId]:
-        """List the daemons that stop as planned, this one among them if it does."""
+        """Return the daemons that are stopping as planned, including this one if it is."""
         others = {member.id for member in self.members.values() if member.draining}
         return others | {self.me} if self.draining else others
 
     def heard_at(self) -> float:
-        """Return when any other daemon was heard last; zero when never."""
+        """Return when any other daemon was last heard; zero if none ever was."""
         return max((member.heard_at for member in self.members.values()), default=0.0)
 
     def sync(self, listed: dict[MemberId, str], streams_to: Set[MemberId] | None = None) -> None:
-        """Take in the host list: dial new neighbours and drop those gone.
+        """Apply the host list: dial new neighbours and drop those that are gone.
 
-        :param listed: peer addresses of all entry daemons, this one included.
-        :param streams_to: the daemons to keep a stream to; the neighbours when left out.
+        :param listed: peer addresses of all entry daemons, including this one.
+        :param streams_to: the daemons to keep a stream to; the ring neighbours if left out.
         """
         self.listed = set(listed) | {self.me}
         wanted = neighbours(self.me, sorted(self.listed)) if streams_to is None else streams_to
@@ -220,18 +220,18 @@
             self._drop(member_id)
 
     def changed(self, before: Current, after: Current) -> None:
-        """Tell the neighbours of a new revision at once.
+        """Announce a new revision to the neighbours at once.
 
-        :param before: what was in force.
-        :param after: what is in force now.
+        :param before: the settings before.
+        :param after: the settings now in force.
         """
         self.last_patch = _make_patch(before, after)
         self.beat()
 
     def push(self, member_id: MemberId, message: wire.Message) -> None:
-        """Send a message to one of the daemons that this one has a stream to.
+        """Send a message to a daemon that this one has a stream to.
 
-        :param member_id: the daemon; nothing is sent to one that is not known.
+        :param member_id: the daemon; ignored if unknown.
         :param message: the message.
         """
         member = self.members.get(member_id)
@@ -242,7 +242,7 @@
         """Send a message to every daemon that this one has a stream to.
 
         :param message: the message.
-        :param but: a daemon to leave out: the message came from it.
+        :param but: a daemon to leave out, because the message came from it.
         """
         for member_id, member in self.members.items():
             if member_id != but:
@@ -254,7 +254,7 @@
             member.push()
 
     def serve(self, sock: socket.socket) -> None:
-        """Accept streams of other daemons until the socket is closed.
+        """Accept streams from other daemons until the socket is closed.
 
         :param sock: the listening socket.
         """
@@ -268,8 +268,8 @@
     def watch(self) -> None:
         """Send heartbeats when due and drop the usage of silent daemons; called often.
 
-        All neighbours are sent to in one go: one wake-up of the process and not
-        one for each of them.
+        All neighbours are sent to in one round, so that the process wakes up once and not once per
+        neighbour.
         """
         at = now()
         if at - self.beat_at >= BEAT_INTERVAL:
@@ -293,7 +293,7 @@
         self.usage.drop(member_id)
 
     def _send(self, member: Member) -> None:
-        """Keep a stream to one neighbour and send on it."""
+        """Keep a stream to one neighbour open and send on it."""
         pause = REDIAL_MIN
         while True:
             try:
@@ -343,7 +343,7 @@
         )
 
     def _receive(self, connection: socket.socket) -> None:
-        """Read one stream of another daemon until it ends."""
+        """Read one stream from another daemon until it ends."""
         peer = ""
         try:
             stream = streams.accept(connection, self.secret)
@@ -361,7 +361,8 @@
         self.heard[sender] = now()
         member = self.members.get(sender)
         if member is not None and member.stream is None:
-            # It lives again: one that has just started waits to hear of others.
+            # It is alive again. If it has just started, it waits for messages from others, so dial it at
+            # once.
             member.push()
         if isinstance(message, wire.Heartbeat):
             if member is not None:
@@ -407,9 +408,9 @@
             member.push(wire.Fetch(self.me, self.revisions.current.revision))
 
     def _check_heard(self, member: Member, age: float) -> None:
-        """Give up a stream on which the other side hears nothing, though nothing else shows it.
+        """Give up a stream on which the other side receives nothing while the connection shows no error.
 
-        :param age: seconds since it heard this daemon.
+        :param age: seconds since the other side heard this daemon.
         """
         if age < UNHEARD_SECONDS or member.stream is None:
             return
--- a/bayglade/entries/ring.py
+++ b/bayglade/entries/ring.py
@@ -1,23 +1,23 @@
-"""The ring: whom a daemon of many exchanges heartbeats with, and how much it may tell them."""
+"""The ring: with which neighbours a daemon of a large site exchanges heartbeats, and their size."""
 
 from bayglade.ids import MemberId
 
 FULL_MESH = 16
-"""Up to so many daemons everybody exchanges heartbeats with everybody."""
+"""Up to this many daemons, all of them exchange heartbeats with each other."""
 BEAT_INTERVAL = 1.0
 """Seconds between heartbeats."""
 BYTES_A_SECOND = 2000.0
-"""What a daemon allows itself for heartbeats to all neighbours together."""
+"""Budget for the heartbeats of one daemon to all its neighbours together."""
 BEAT_BYTES = 32
 ROW_BYTES = 32
 
 
 def neighbours(me: MemberId, members: list[MemberId]) -> set[MemberId]:
-    """Choose whom a daemon exchanges heartbeats with; the relation is mutual.
+    """Choose the neighbours with which a daemon exchanges heartbeats; the relation is symmetric.
 
     :param me: the daemon.
-    :param members: all daemons, sorted, this one included.
-    :return: all others while few; those at powers of two on the ring beyond.
+    :param members: all daemons, sorted, including this one.
+    :return: all others in a small site; beyond that, those at powers of two on the ring.
     """
     others = set(members) - {me}
     if len(members) <= FULL_MESH:
@@ -33,6 +33,6 @@
 
 
 def rows_a_beat(neighbours: int) -> int:
-    """Return how many groups a heartbeat may tell of within the budget of bytes."""
+    """Return how many groups a heartbeat may report within the byte budget."""
     allowed = BYTES_A_SECOND * BEAT_INTERVAL / max(1, neighbours) - BEAT_BYTES
     return max(1, int(allowed / ROW_BYTES))
--- a/bayglade/entries/streams.py
+++ b/bayglade/entries/streams.py
@@ -1,4 +1,4 @@
-"""Streams between entry daemons: dialing, accepting, reading and sending."""
+"""Streams between entry daemons: dialling, accepting, reading and sending."""
 
 import hmac
 import socket
@@ -16,21 +16,21 @@
 HANDSHAKE_TIMEOUT = 2.0
 SEND_TIMEOUT = 2.0
 USER_TIMEOUT_MS = 2500
-"""After this time without an acknowledgement the kernel gives a stream up: a link that drops all
-packets of an open connection says nothing, and heartbeats are only ever sent on it."""
+"""The kernel closes a stream whose data stays unacknowledged for so long. A link that drops all packets of
+an open connection causes no error, and heartbeats on a stream are only sent, never answered on it."""
 READ_BYTES = 64 * 1024
 HANDSHAKE_BYTES = 4096
 
 
 class OutStream:
-    """A stream that this daemon opened and sends on."""
+    """An outgoing stream: opened by this daemon, which sends on it."""
 
     def __init__(self, sock: socket.socket, sealer: wire.Sealer) -> None:
         self.sock = sock
         self.sealer = sealer
         self.sent_bytes = 0
         self.broken = False
-        """Set when the other side is known to hear nothing: the next message fails."""
+        """Set when the other side is known to receive nothing: the next send fails."""
 
     def __repr__(self) -> str:
         return f"<OutStream {self.sent_bytes} bytes sent>"
@@ -39,10 +39,10 @@
         """Send one message.
 
         :param message: the message.
-        :raises OSError: when the stream broke or does not take it in time.
+        :raises OSError: when the stream broke or the send timed out.
         """
         if self.broken:
-            raise ConnectionError("the other side hears nothing")
+            raise ConnectionError("the other side receives nothing on this stream")
         frame = self.sealer.seal(message)
         self.sock.sendall(frame)
         self.sent_bytes += len(frame)
@@ -53,7 +53,7 @@
 
 
 class InStream:
-    """A stream that another daemon opened; messages are read from it."""
+    """An incoming stream: opened by another daemon, and read here."""
 
     def __init__(self, sock: socket.socket, sealer: wire.Sealer, member: MemberId) -> None:
         self.sock = sock
@@ -73,9 +73,9 @@
         """Read messages until the stream ends.
 
         :param timeout: seconds of silence after which the stream is given up.
-        :return: messages as they come.
-        :raises PeerError: when a frame is not what it should be.
-        :raises OSError: when the stream broke or fell silent.
+        :return: messages as they arrive.
+        :raises PeerError: when a frame is invalid.
+        :raises OSError: when the stream broke or went silent.
         """
         self.sock.settimeout(timeout)
         unpacker = msgpack.Unpacker(max_buffer_size=wire.MAX_FRAME_BYTES, raw=False)
@@ -88,7 +88,7 @@
 def dial(address: Address, me: MemberId, secret: bytes) -> OutStream:
     """Open a stream to another daemon.
 
-    :param address: where it listens for peers.
+    :param address: where it accepts streams of other daemons.
     :param me: this daemon.
     :param secret: the shared secret.
     :return: the stream.
@@ -99,7 +99,7 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-        with eventlet.Timeout(HANDSHAKE_TIMEOUT, PeerError("greeting took too long", step="hello")):
+        with eventlet.Timeout(HANDSHAKE_TIMEOUT, PeerError("handshake timed out", step="hello")):
             key = _greet(sock, me, secret)
         sock.settimeout(SEND_TIMEOUT)
     except BaseException:
@@ -109,7 +109,7 @@
 
 
 def accept(sock: socket.socket, secret: bytes) -> InStream:
-    """Answer the greeting of a daemon that dialed.
+    """Perform the handshake with a daemon that dialled.
 
     :param sock: the new connection.
     :param secret: the shared secret.
@@ -117,12 +117,12 @@
     :raises PeerError: when the other side does not hold the secret.
     :raises OSError: when the connection broke.
     """
-    with eventlet.Timeout(HANDSHAKE_TIMEOUT, PeerError("greeting took too long", step="hello")):
+    with eventlet.Timeout(HANDSHAKE_TIMEOUT, PeerError("handshake timed out", step="hello")):
         mine = wire.new_nonce()
         sock.sendall(mine)
         hello = wire.decode_hello(_read_frame(sock))
         if hello.protocol != wire.PROTOCOL:
-            raise PeerError(f"protocol {hello.protocol} is not spoken", step="hello")
+            raise PeerError(f"unsupported protocol version {hello.protocol}", step="hello")
         _check(hello.proof, wire.proof(secret, "dial", mine, hello.nonce, hello.member))
         sock.sendall(wire.proof(secret, "accept", hello.nonce, mine, hello.member))
     key = wire.stream_key(secret, mine, hello.nonce)
@@ -141,7 +141,7 @@
 
 def _check(given: bytes, expected: bytes) -> None:
     if not hmac.compare_digest(given, expected):
-        raise PeerError("the other side does not hold the secret", step="hello")
+        raise PeerError("the peer does not hold the shared secret", step="hello")
 
 
 def _read_exactly(sock: socket.socket, size: int) -> bytes:
@@ -149,7 +149,7 @@
     while len(content) < size:
         chunk = sock.recv(size - len(content))
         if not chunk:
-            raise PeerError("the stream ended in the greeting", step="hello")
+            raise PeerError("the stream ended during the handshake", step="hello")
         content += chunk
     return content
 
@@ -159,13 +159,13 @@
     while chunk := sock.recv(HANDSHAKE_BYTES):
         for frame in _feed(unpacker, chunk):
             return frame
-    raise PeerError("the stream ended in the greeting", step="hello")
+    raise PeerError("the stream ended during the handshake", step="hello")
 
 
 def _feed(unpacker: msgpack.Unpacker, chunk: bytes) -> Iterator[object]:
-    """Yield the frames that a chunk completes; whatever is no msgpack is an error."""
+    """Yield the frames that a chunk completes; raises PeerError for data that is not msgpack."""
     try:
         unpacker.feed(chunk)
         yield from unpacker
     except (msgpack.exceptions.UnpackException, ValueError) as error:
-        raise PeerError("the stream is not msgpack or a frame is too large", step="read") from error
+        raise PeerError("the stream is not valid msgpack, or a frame is too large", step="read") from error
--- a/bayglade/entries/wire.py
+++ b/bayglade/entries/wire.py
@@ -1,8 +1,8 @@
-"""Messages between entry daemons: sealed msgpack frames on a TCP stream.
+"""Messages between entry daemons: authenticated msgpack frames on a TCP stream.
 
-A stream is opened by the daemon that sends on it. Both sides prove that they
-hold the shared secret; every frame then carries a keyed digest over its place
-in the stream and its content, so none can be changed, repeated or left out.
+A stream is opened by the daemon that sends on it. Both sides prove that they hold the shared
+secret. Every frame then carries a keyed digest of its sequence number and content, so frames cannot
+be modified, replayed or left out.
 """
 
 import hashlib
@@ -34,7 +34,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """Opens a stream: who dials, a nonce, and proof of the secret."""
+    """Opens a stream: the dialling daemon, a nonce, and proof of the secret."""
 
     protocol: int
     member: MemberId
@@ -43,98 +43,98 @@
 
 
 class Held(msgspec.Struct, frozen=True, array_like=True):
-    """The version that a server holds since a short while, by an order that was taken."""
+    """The version that a server has held for a short while, because of an order that it accepted."""
 
     backend: BackendId
     version: Version
 
 
 class ServerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon has under way on a server that holds layers."""
+    """The requests that a daemon has in progress on a server that holds layers."""
 
     backend: BackendId
     heads: int
-    """Requests whose first stage it is."""
+    """Requests for which it is the first stage."""
 
     cached: int
-    """What all its requests have in the KV cache there, in tokens times layers."""
+    """Size of the KV cache entries of all its requests there, in tokens times layers."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
 
     @property
     def key(self) -> ServerKey:
-        """Return which start of which server this tells of."""
+        """Return the server and its incarnation."""
         return ServerKey(self.backend, self.incarnation)
 
 
 class Sums(msgspec.Struct, frozen=True):
-    """What one daemon tells of requests under way, as of one moment."""
+    """The requests in progress that one daemon reports, as of one moment."""
 
     own: list[ServerLoad] = []
     hall: list[ServerLoad] = []
-    """Over its hall, from a reader."""
+    """Totals of its hall, sent by a reader."""
 
     everywhere: list[ServerLoad] = []
-    """Over all halls, from a reader."""
+    """Totals of all halls, sent by a reader."""
 
 
 class Finding(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon found out about a server, by asking it."""
+    """An observation about a server, made by calling it."""
 
     backend: BackendId
     finder: MemberId
     incarnation: Incarnation = UNKNOWN_INCARNATION
     number: int = 0
-    """Grows with each finding of the finder: one that is passed on is told from one that is new."""
+    """Increases with each finding of the finder, which distinguishes a new finding from a relayed one."""
 
     @property
     def key(self) -> ServerKey:
-        """Return which start of which server this tells of."""
+        """Return the server and its incarnation."""
         return ServerKey(self.backend, self.incarnation)
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """A start of a server that ended while it had just begun to run a request."""
+    """An incarnation of a server that ended shortly after it began to run a request."""
 
     fingerprint: Fingerprint
     backend: BackendId
     incarnation: Incarnation = UNKNOWN_INCARNATION
     age: float = 0.0
-    """Seconds since the server broke the request off, when this was told."""
+    """Seconds since the server broke off the request, as of sending."""
 
     @property
     def key(self) -> ServerKey:
-        """Return which start of which server ended."""
+        """Return the server and the incarnation that ended."""
         return ServerKey(self.backend, self.incarnation)
 
 
 class LimitNotice(msgspec.Struct, frozen=True, array_like=True):
-    """The rate limit that a server named in an answer, or its end."""
+    """The rate limit that a server announced in an answer, or its removal."""
 
     backend: BackendId
     finder: MemberId
-    """The daemon that had the answer."""
+    """The daemon that received the answer."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
     number: int = 0
-    """Grows with each notice of the finder."""
+    """Increases with each notice of the finder."""
 
     rate: float | None = None
-    """Requests a second from all daemons together; nothing when it names no limit any more."""
+    """Requests a second from all daemons together; None when the server no longer names a limit."""
 
     age: float = 0.0
-    """Seconds since the answer came, when this was told."""
+    """Seconds since the answer arrived, as of sending."""
 
     @property
     def key(self) -> ServerKey:
-        """Return which start of which server this tells of."""
+        """Return the server and its incarnation."""
         return ServerKey(self.backend, self.incarnation)
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="b", array_like=True, kw_only=True):
-    """Tells that a daemon lives and what it knows; sent at once on a change.
+    """Shows that a daemon is alive and reports its state; sent immediately after a change.
 
-    It is sent most often of all, so it says nothing that the stream says already.
+    It is the most frequent message, so it repeats nothing that the stream already implies.
     """
 
     revision: Revision
@@ -144,60 +144,60 @@
     held: list[Held]
     loads: list[ServerLoad] = []
     hall_loads: list[ServerLoad] = []
-    """The same as ``loads`` for all daemons of the sender's hall; told by its readers."""
+    """The same as ``loads`` for all daemons of the sender's hall; sent by its readers."""
 
     all_loads: list[ServerLoad] = []
     """The same for all halls."""
 
     heard_age: float = 0.0
-    """Seconds since the sender heard the receiver; 0 when it never did. A stream whose connection
-    fell silent takes what is sent on it without an error, and only the other side can tell."""
+    """Seconds since the sender heard the receiver; 0 if it never did. A connection that silently drops
+    packets accepts sent data without an error, so only the other side can detect it."""
 
     caught_up: bool = True
-    """Whether the sender, since it started, asked others for newer settings than it has."""
+    """Whether the sender has asked others for newer settings since it started."""
 
 
 class Findings(msgspec.Struct, frozen=True, tag="s", array_like=True):
-    """Passes on what was found out about servers, at once.
+    """Relays observations about servers immediately.
 
-    Small, beside the heartbeats, whose sums would hold up a slow link: a crash of several servers is
-    told in dozens of steps.
+    Kept separate from heartbeats and small, because the sums in heartbeats would delay it on a slow
+    link: a crash of several servers is reported in dozens of steps.
     """
 
     dead: list[Finding] = []
-    """Stages that were found silent just now."""
+    """Stages that were just found silent."""
 
     back: list[Finding] = []
     """Stages that were silent and answer again."""
 
     crashes: list[Crash] = []
-    """Servers that ended under requests."""
+    """Servers that ended while running a request."""
 
     cleared: list[Fingerprint] = []
-    """Requests that were answered though servers had ended under them."""
+    """Requests that were answered although servers had ended while running them."""
 
     leaving: list[ServerKey] = []
-    """Starts of servers that said in an answer that they leave."""
+    """Server incarnations that announced in an answer that they are leaving."""
 
     proven: list[Fingerprint] = []
-    """Requests under which servers end though they were answered many times before."""
+    """Requests under which servers end although the requests were answered many times before."""
 
     breaks: list[Crash] = []
     """Requests that broke off on servers which may have ended."""
 
     limits: list[LimitNotice] = []
-    """Rate limits that servers named."""
+    """Rate limits that servers announced."""
 
 
 class Fetch(msgspec.Struct, frozen=True, tag="f", array_like=True):
-    """Asks for the settings in force, newer than a revision."""
+    """Requests the settings in force if they are newer than a revision."""
 
     member: MemberId
     have: Revision
 
 
 class Document(msgspec.Struct, frozen=True, tag="d", array_like=True):
-    """The settings in force, whole."""
+    """The complete settings in force."""
 
     revision: Revision
     digest: Digest
@@ -205,7 +205,7 @@
 
 
 class Patch(msgspec.Struct, frozen=True, tag="p", array_like=True):
-    """The settings in force, as a merge patch against the revision before."""
+    """The settings in force, as a merge patch against the previous revision."""
 
     revision: Revision
     digest: Digest
@@ -213,58 +213,58 @@
 
 
 class Poll(msgspec.Struct, frozen=True, tag="a", array_like=True):
-    """Asks a reader of the platform's tables for updates, to be answered when there is any."""
+    """Long-polls a reader for updates of the platform's tables; answered once there are any."""
 
     number: int
     have: dict[str, Position]
-    """Up to where each table is known; one that is left out is wanted whole."""
+    """The position of each table; a table that is left out is requested as a snapshot."""
 
     address: str
-    """Where the sender takes streams: it may have started so lately that nobody knows of it."""
+    """Where the sender accepts streams; it may have started so recently that nobody knows it."""
 
 
 class TableUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Rows of one table."""
 
     after: Position | None
-    """The position they changed after; nothing when they are the whole table."""
+    """The position they changed after; None when they are a snapshot of the whole table."""
 
     position: Position
     age: float
-    """Seconds since they were surely the newest, when this was written."""
+    """Seconds since they were known to be current, as of sending."""
 
     rows: bytes
-    """Packed."""
+    """Compressed, see :mod:`bayglade.fanout`."""
 
     recovered_age: float | None = None
-    """Seconds since the store was back for whoever read the rows; nothing when it was never lost."""
+    """Seconds since the store recovered for the daemon that read the rows; None when it was never lost."""
 
 
 class Updates(msgspec.Struct, frozen=True, tag="n", array_like=True):
     """Answers a poll."""
 
     number: int
-    """That of the question."""
+    """The number of the poll."""
 
     waited: float
-    """Seconds for which the question lay here."""
+    """Seconds for which the poll was pending."""
 
     tables: dict[str, TableUpdate]
-    """Those that the sender has; one that the store does not answer for is not among them."""
+    """The tables that the sender knows; one for which its store calls fail is left out."""
 
     store_unreachable: bool = False
-    """Whether the store does not answer the sender itself, which has all this from others."""
+    """Whether the store does not answer the sender, which then has all of this from others."""
 
 
 class StoreUnreachable(msgspec.Struct, frozen=True, tag="u", array_like=True):
-    """Says that the sender lives and gets no answer of the store itself; the poll keeps waiting."""
+    """Reports that the sender is alive but gets no answer from the store; the poll stays pending."""
 
     number: int
-    """That of the question."""
+    """The number of the poll."""
 
 
 class Borrow(msgspec.Struct, frozen=True, tag="w", array_like=True):
-    """Asks a reader for retries that are left in its hall."""
+    """Asks a reader for unused retries of its hall."""
 
     number: int
     service: str
@@ -272,37 +272,37 @@
 
 
 class Lent(msgspec.Struct, frozen=True, tag="l", array_like=True):
-    """Answers a wish to borrow; the number is that of the wish."""
+    """Answers a request to borrow; the number is that of the request."""
 
     number: int
     amount: int
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, tag="q", array_like=True):
-    """Asks the keeper of a server's rate limit for one request to it."""
+    """Asks the keeper of a server's rate limit for permission to send it one request."""
 
     number: int
     limit: LimitNotice
-    """As the asker knows it, who is its finder: the keeper may not have heard of it."""
+    """The limit as known to the sender, which is its finder here: the keeper may not know it yet."""
 
     hops: int = 0
-    """How often it was passed on."""
+    """Number of times it was forwarded."""
 
 
 class QuotaReply(msgspec.Struct, frozen=True, tag="y", array_like=True):
-    """Answers a request for a quota; the number is that of the request."""
+    """Answers a quota request; the number is that of the request."""
 
     number: int = 0
     granted: bool = False
     wait: float = 0.0
-    """Seconds until asking again may help."""
+    """Seconds until asking again may succeed."""
 
     contenders: int = 1
-    """Daemons that asked lately, the receiver among them."""
+    """Number of daemons that asked recently, including the receiver."""
 
 
 class QuotaReturn(msgspec.Struct, frozen=True, tag="z", array_like=True):
-    """Returns a request that was lent and not sent."""
+    """Returns a granted request that was not sent."""
 
     backend: BackendId
     incarnation: Incarnation = UNKNOWN_INCARNATION
@@ -310,7 +310,7 @@
 
     @property
     def key(self) -> ServerKey:
-        """Return the start of the server whose limit it is."""
+        """Return the server and the incarnation whose limit it is."""
         return ServerKey(self.backend, self.incarnation)
 
 
@@ -336,7 +336,7 @@
 
 
 class Sealer:
-    """Seals or opens the frames of one direction of one stream, in order."""
+    """Authenticates the frames of one direction of one stream, in order."""
 
     def __init__(self, key: bytes) -> None:
         self.key = key
@@ -346,28 +346,28 @@
         return f"<Sealer {self.count} frames>"
 
     def seal(self, message: Message) -> bytes:
-        """Encode the next message of the stream."""
+        """Encode and authenticate the next message of the stream."""
         payload = _encoder.encode(message)
         return msgpack.packb([self._digest(payload), payload])  # type: ignore[no-any-return]
 
     def open(self, frame: object) -> Message:
-        """Check and decode the next frame of the stream.
+        """Verify and decode the next frame of the stream.
 
-        :param frame: what the unpacker gave.
+        :param frame: the unpacked frame.
         :return: the message.
         :raises PeerError: when the frame is not the next one of this stream.
         """
         if not isinstance(frame, list) or len(frame) != 2:
-            raise PeerError("a frame has the wrong shape", step="open")
+            raise PeerError("a frame is not a pair of digest and payload", step="open")
         seal, payload = frame
         if not isinstance(seal, bytes) or not isinstance(payload, bytes):
-            raise PeerError("a frame has the wrong types", step="open")
+            raise PeerError("digest or payload of a frame is not binary", step="open")
         if not hmac.compare_digest(seal, self._digest(payload)):
-            raise PeerError("a frame's seal is wrong", step="open")
+            raise PeerError("the digest of a frame does not match", step="open")
         try:
             return _decoder.decode(payload)
         except msgspec.DecodeError as error:
-            raise PeerError(f"a message makes no sense: {error}", step="open") from error
+            raise PeerError(f"malformed message: {error}", step="open") from error
 
     def _digest(self, payload: bytes) -> bytes:
         self.count += 1
@@ -381,10 +381,10 @@
 
 
 def proof(secret: bytes, side: str, first: bytes, second: bytes, member: MemberId) -> bytes:
-    """Prove that a side holds the secret, bound to both nonces.
+    """Compute the proof that one side holds the secret, bound to both nonces.
 
     :param secret: the shared secret.
-    :param side: ``"dial"`` or ``"accept"``, so that no proof can be sent back.
+    :param side: ``"dial"`` or ``"accept"``, so that a proof cannot be reflected.
     :param first: the nonce of the other side.
     :param second: the nonce of this side.
     :param member: the daemon that dials.
@@ -409,15 +409,15 @@
 
 
 def decode_hello(frame: object) -> Hello:
-    """Read the frame that opens a stream.
+    """Decode the frame that opens a stream.
 
-    :param frame: what the unpacker gave.
-    :return: the greeting; its proof is not yet checked.
-    :raises PeerError: when it is none.
+    :param frame: the unpacked frame.
+    :return: the greeting; its proof is not verified yet.
+    :raises PeerError: when the frame is not a valid greeting.
     """
     if not isinstance(frame, list) or len(frame) != 1 or not isinstance(frame[0], bytes):
-        raise PeerError("no greeting", step="hello")
+        raise PeerError("the first frame is not a valid greeting", step="hello")
     try:
         return _hello_decoder.decode(frame[0])
     except msgspec.DecodeError as error:
-        raise PeerError("no greeting", step="hello") from error
+        raise PeerError("malformed greeting", step="hello") from error
