--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -15,7 +15,7 @@
 from bayglade.directory import Directory
 from bayglade.engines import create_engines
 from bayglade.entries import Membership
-from bayglade.entries.membership import LOST_AFTER
+from bayglade.entries.membership import LOST_AFTER_SECONDS
 from bayglade.entries.wire import Heartbeat
 from bayglade.exceptions import BaygladeError
 from bayglade.ids import BackendId, MemberId
@@ -178,7 +178,7 @@
     def _drain(self, server: eventlet.greenthread.GreenThread) -> None:
         """Stop in order: unready first, then no new connections, then wait for answers."""
         self.membership.draining = True
-        self.membership.beat()
+        self.membership.send_heartbeats()
         event("INFO", "stopping", in_flight=len(self.router.active))
         eventlet.sleep(self.config.balancer_delay)
         server.kill()
@@ -205,7 +205,7 @@
         self.operators.directory = directory
         self.engines.forget({backend.address for backend in current.tree.backends.values()})
         self._mark_leaving()
-        self.membership.changed(before, current)
+        self.membership.announce_revision(before, current)
         self.metrics.gauge("settings.revision", current.revision)
 
     def _poll_hosts(self) -> None:
@@ -237,7 +237,7 @@
     def _take_hosts(self) -> None:
         hosts = self.platform.hosts()
         entries = {h.id: h.address for h in hosts if h.kind is HostKind.ENTRY}
-        self.membership.sync(entries)  # type: ignore[arg-type]
+        self.membership.update_members(entries)  # type: ignore[arg-type]
         gone = {h.id for h in hosts if h.kind is HostKind.BACKEND and h.state is HostState.LEAVING}
         self.listed_leaving = {BackendId(host) for host in gone}
         self._mark_leaving()
@@ -266,7 +266,7 @@
 
     def _mark_leaving(self) -> None:
         """Bring together what the host list, other daemons and the servers say."""
-        since = now() - LOST_AFTER
+        since = now() - LOST_AFTER_SECONDS
         self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > since}
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
         self.router.leaving = elsewhere
@@ -299,7 +299,7 @@
             self.metrics.gauge("loop.late_seconds", late)
             if late > LATE_TICK:
                 event("WARNING", "the loop was late", seconds=round(late, 3))
-            self.membership.watch()
+            self.membership.run_due()
             self._mark_leaving()
             self.router.divide(len(self.membership.live()) + 1)
             self.router.admission.fail_uncovered()
--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -18,7 +18,7 @@
 from bayglade.clock import now
 from bayglade.config import Address, parse_address
 from bayglade.entries import streams, wire
-from bayglade.entries.ring import BEAT_INTERVAL, neighbours, rows_a_beat
+from bayglade.entries.ring import HEARTBEAT_INTERVAL, neighbours, rows_per_heartbeat
 from bayglade.exceptions import BaygladeError, PeerError
 from bayglade.ids import BackendId, Digest, MemberId, Revision
 from bayglade.logs import event
@@ -26,8 +26,8 @@
 from bayglade.revisions import Current
 from bayglade.usage import GroupUsage, Usage
 
-LOST_AFTER = 3.5
-UNHEARD_SECONDS = 3.0
+LOST_AFTER_SECONDS = 3.5
+ONE_WAY_SILENCE_SECONDS = 3.0
 """A stream is dialled again once the other side reports having heard nothing for so long."""
 REDIAL_MIN = 0.1
 REDIAL_MAX = 2.0
@@ -35,7 +35,7 @@
 """Limit on messages queued for an unreachable daemon; a sender that needs an answer asks again."""
 
 
-class Offered(Protocol):
+class SettingsHolder(Protocol):
     """Holds the settings in force and accepts newer ones."""
 
     current: Current
@@ -50,11 +50,11 @@
     __slots__ = (
         "added_at",
         "address",
-        "ahead_since",
-        "beat_due",
         "draining",
         "heard_at",
+        "heartbeat_due",
         "id",
+        "newer_settings_since",
         "outbox",
         "revision",
         "stream",
@@ -69,12 +69,12 @@
         self.added_at = now()
         self.heard_at = 0.0
         self.revision = Revision(0)
-        self.ahead_since: float | None = None
+        self.newer_settings_since: float | None = None
         """When it was first known to have newer settings than this daemon; None if it has none."""
 
         self.draining = False
         self.outbox: list[wire.Message] = []
-        self.beat_due = True
+        self.heartbeat_due = True
         self.wake = Event()
         self.stream: streams.OutStream | None = None
         """The stream on which this daemon sends to it, if there is one."""
@@ -85,9 +85,9 @@
     def __repr__(self) -> str:
         return f"<Member {self.id} revision={self.revision} draining={self.draining}>"
 
-    def live(self, at: float) -> bool:
+    def is_live(self, at: float) -> bool:
         """Return whether it was heard recently."""
-        return at - self.heard_at < LOST_AFTER
+        return at - self.heard_at < LOST_AFTER_SECONDS
 
     def wait(self, seconds: float) -> None:
         """Wait before dialling again, or until there is something to send."""
@@ -98,7 +98,7 @@
     def push(self, message: wire.Message | None = None) -> None:
         """Queue a message, or a heartbeat if none is given, and wake the sending task."""
         if message is None:
-            self.beat_due = True
+            self.heartbeat_due = True
         elif len(self.outbox) < MAX_OUTBOX:
             self.outbox.append(message)
         if not self.wake.ready():
@@ -112,11 +112,11 @@
         self,
         me: MemberId,
         secret: bytes,
-        revisions: Offered,
+        revisions: SettingsHolder,
         usage: Usage,
         metrics: Metrics,
         leaving: Callable[[], list[BackendId]],
-        held: Callable[[], list[wire.Held]],
+        held: Callable[[], list[wire.HeldVersion]],
         on_beat: Callable[[MemberId, wire.Heartbeat], None],
         rng: random.Random,
     ) -> None:
@@ -127,18 +127,18 @@
         self.metrics = metrics
         self.leaving = leaving
         self.held = held
-        self.on_beat = on_beat
+        self.on_heartbeat = on_beat
         self.rng = rng
         self.listed: set[MemberId] = {me}
         self.members: dict[MemberId, Member] = {}
         self.draining = False
-        self.sums_for: Callable[[MemberId], wire.Sums] = lambda member: wire.Sums()
+        self.sums_for: Callable[[MemberId], wire.LoadSums] = lambda member: wire.LoadSums()
         """Returns the sums of requests in progress to send to another daemon."""
 
-        self.on_due: Callable[[], None] = lambda: None
+        self.before_heartbeats: Callable[[], None] = lambda: None
         """Called before each round of heartbeats."""
 
-        self.heard: dict[MemberId, float] = {}
+        self.last_heard: dict[MemberId, float] = {}
         """When each daemon was last heard, through any message."""
 
         self.on_poll: Callable[[MemberId, wire.Poll], None] = lambda member, poll: None
@@ -147,11 +147,11 @@
             lambda member, message: None
         )
         self.on_findings: Callable[[MemberId, wire.Findings], None] = lambda member, message: None
-        self.greet: Callable[[], list[wire.Findings]] = list
+        self.first_messages: Callable[[], list[wire.Findings]] = list
         """Returns the messages to send first on each new stream to another daemon."""
 
-        self.on_borrow: Callable[[MemberId, wire.Borrow], None] = lambda member, message: None
-        self.on_lent: Callable[[MemberId, wire.Lent], None] = lambda member, message: None
+        self.on_borrow: Callable[[MemberId, wire.BorrowRequest], None] = lambda member, message: None
+        self.on_lent: Callable[[MemberId, wire.BorrowReply], None] = lambda member, message: None
         self.on_quota_request: Callable[[MemberId, wire.QuotaRequest], None] = lambda member, message: None
         self.on_quota_reply: Callable[[MemberId, wire.QuotaReply], None] = lambda member, message: None
         self.on_quota_return: Callable[[MemberId, wire.QuotaReturn], None] = lambda member, message: None
@@ -163,8 +163,8 @@
         from it. Above zero where they also arrive another way."""
 
         self.last_patch: wire.Patch | None = None
-        self.beat_at = 0.0
-        self.rows: list[GroupUsage] = []
+        self.heartbeat_at = 0.0
+        self.usage_rows: list[GroupUsage] = []
         self.bytes_out = 0
         self.bytes_in = 0
 
@@ -174,14 +174,14 @@
     def live(self) -> list[Member]:
         """List the other daemons heard recently."""
         at = now()
-        return [member for member in self.members.values() if member.live(at)]
+        return [member for member in self.members.values() if member.is_live(at)]
 
     def count(self) -> int:
         """Return the number of daemons, as far as can be told from here."""
         everybody_near = len(self.members) >= len(self.listed) - 1
         return len(self.live()) + 1 if everybody_near else len(self.listed)
 
-    def silent(self, seconds: float) -> list[MemberId]:
+    def silent_members(self, seconds: float) -> list[MemberId]:
         """List the daemons that this one has a stream to and has not heard for some time.
 
         :param seconds: the time; a daemon that was added more recently does not count.
@@ -190,10 +190,10 @@
         return [
             member.id
             for member in self.members.values()
-            if max(member.added_at, self.heard.get(member.id, 0.0)) < oldest
+            if max(member.added_at, self.last_heard.get(member.id, 0.0)) < oldest
         ]
 
-    def stopping(self) -> set[MemberId]:
+    def stopping_members(self) -> set[MemberId]:
         """Return the daemons that are stopping as planned, including this one if it is."""
         others = {member.id for member in self.members.values() if member.draining}
         return others | {self.me} if self.draining else others
@@ -202,7 +202,7 @@
         """Return when any other daemon was last heard; zero if none ever was."""
         return max((member.heard_at for member in self.members.values()), default=0.0)
 
-    def sync(self, listed: dict[MemberId, str], streams_to: Set[MemberId] | None = None) -> None:
+    def update_members(self, listed: dict[MemberId, str], streams_to: Set[MemberId] | None = None) -> None:
         """Apply the host list: dial new neighbours and drop those that are gone.
 
         :param listed: peer addresses of all entry daemons, including this one.
@@ -219,14 +219,14 @@
         for member_id in set(self.members) - wanted:
             self._drop(member_id)
 
-    def changed(self, before: Current, after: Current) -> None:
+    def announce_revision(self, before: Current, after: Current) -> None:
         """Announce a new revision to the neighbours at once.
 
         :param before: the settings before.
         :param after: the settings now in force.
         """
         self.last_patch = _make_patch(before, after)
-        self.beat()
+        self.send_heartbeats()
 
     def push(self, member_id: MemberId, message: wire.Message) -> None:
         """Send a message to a daemon that this one has a stream to.
@@ -238,7 +238,7 @@
         if member is not None:
             member.push(message)
 
-    def push_all(self, message: wire.Message, but: MemberId | None = None) -> None:
+    def broadcast(self, message: wire.Message, but: MemberId | None = None) -> None:
         """Send a message to every daemon that this one has a stream to.
 
         :param message: the message.
@@ -248,7 +248,7 @@
             if member_id != but:
                 member.push(message)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to every neighbour at once."""
         for member in self.members.values():
             member.push()
@@ -265,20 +265,20 @@
                 return
             eventlet.spawn_n(self._receive, connection)
 
-    def watch(self) -> None:
+    def run_due(self) -> None:
         """Send heartbeats when due and drop the usage of silent daemons; called often.
 
         All neighbours are sent to in one round, so that the process wakes up once and not once per
         neighbour.
         """
         at = now()
-        if at - self.beat_at >= BEAT_INTERVAL:
-            self.beat_at = at
-            self.on_due()
-            self.rows = self.usage.tell(rows_a_beat(len(self.members)))
-            self.beat()
+        if at - self.heartbeat_at >= HEARTBEAT_INTERVAL:
+            self.heartbeat_at = at
+            self.before_heartbeats()
+            self.usage_rows = self.usage.tell(rows_per_heartbeat(len(self.members)))
+            self.send_heartbeats()
         for member in self.members.values():
-            if not member.live(at):
+            if not member.is_live(at):
                 self.usage.drop(member.id)
         self.metrics.gauge("members.live", len(self.live()) + 1)
 
@@ -303,8 +303,8 @@
                 pause = min(REDIAL_MAX, pause * 2)
                 continue
             pause = REDIAL_MIN
-            member.beat_due = True
-            member.outbox = [*self.greet(), *member.outbox]
+            member.heartbeat_due = True
+            member.outbox = [*self.first_messages(), *member.outbox]
             member.stream, member.stream_since = stream, now()
             try:
                 self._send_on(member, stream)
@@ -318,8 +318,8 @@
         while True:
             member.wake = Event()
             messages, member.outbox = member.outbox, []
-            if member.beat_due:
-                member.beat_due = False
+            if member.heartbeat_due:
+                member.heartbeat_due = False
                 messages = [*messages, self._heartbeat(member.id)]
             before = stream.sent_bytes
             for message in messages:
@@ -332,13 +332,13 @@
         return wire.Heartbeat(
             revision=self.revisions.current.revision,
             draining=self.draining,
-            usage=self.rows,
+            usage=self.usage_rows,
             leaving=self.leaving(),
             held=self.held(),
             loads=sums.own,
             hall_loads=sums.hall,
             all_loads=sums.everywhere,
-            heard_age=round(now() - self.heard[member_id], 2) if member_id in self.heard else 0.0,
+            heard_age=round(now() - self.last_heard[member_id], 2) if member_id in self.last_heard else 0.0,
             caught_up=self.caught_up(),
         )
 
@@ -348,8 +348,8 @@
         try:
             stream = streams.accept(connection, self.secret)
             peer = stream.member
-            for message in stream.messages(LOST_AFTER * 2):
-                self.bytes_in += stream.taken()
+            for message in stream.messages(LOST_AFTER_SECONDS * 2):
+                self.bytes_in += stream.take_received_bytes()
                 self._handle(stream.member, message)
         except (OSError, BaygladeError) as error:
             self.metrics.count("entries.streams_broken")
@@ -358,7 +358,7 @@
             connection.close()
 
     def _handle(self, sender: MemberId, message: wire.Message) -> None:
-        self.heard[sender] = now()
+        self.last_heard[sender] = now()
         member = self.members.get(sender)
         if member is not None and member.stream is None:
             # It is alive again. If it has just started, it waits for messages from others, so dial it at
@@ -366,7 +366,7 @@
             member.push()
         if isinstance(message, wire.Heartbeat):
             if member is not None:
-                self._heard(member, message)
+                self._handle_heartbeat(member, message)
         elif isinstance(message, wire.Fetch):
             if member is not None:
                 member.push(self._settings_for(message.have))
@@ -378,9 +378,9 @@
             self.on_store_unreachable(sender, message)
         elif isinstance(message, wire.Findings):
             self.on_findings(sender, message)
-        elif isinstance(message, wire.Borrow):
+        elif isinstance(message, wire.BorrowRequest):
             self.on_borrow(sender, message)
-        elif isinstance(message, wire.Lent):
+        elif isinstance(message, wire.BorrowReply):
             self.on_lent(sender, message)
         elif isinstance(message, wire.QuotaRequest):
             self.on_quota_request(sender, message)
@@ -391,32 +391,32 @@
         elif isinstance(message, wire.Document):
             self.revisions.offer(message.revision, message.digest, message.document)
         else:
-            self._take_patch(member, message)
+            self._apply_patch(member, message)
 
-    def _heard(self, member: Member, beat: wire.Heartbeat) -> None:
+    def _handle_heartbeat(self, member: Member, beat: wire.Heartbeat) -> None:
         member.heard_at = now()
         member.revision = beat.revision
         member.draining = beat.draining
-        self._check_heard(member, beat.heard_age)
+        self._check_one_way_silence(member, beat.heard_age)
         self.usage.hear(member.id, beat.usage)
-        self.on_beat(member.id, beat)
+        self.on_heartbeat(member.id, beat)
         if beat.revision <= self.revisions.current.revision:
-            member.ahead_since = None
+            member.newer_settings_since = None
             return
-        member.ahead_since = member.ahead_since or now()
-        if now() - member.ahead_since >= self.fetch_after:
+        member.newer_settings_since = member.newer_settings_since or now()
+        if now() - member.newer_settings_since >= self.fetch_after:
             member.push(wire.Fetch(self.me, self.revisions.current.revision))
 
-    def _check_heard(self, member: Member, age: float) -> None:
+    def _check_one_way_silence(self, member: Member, age: float) -> None:
         """Give up a stream on which the other side receives nothing while the connection shows no error.
 
         :param age: seconds since the other side heard this daemon.
         """
-        if age < UNHEARD_SECONDS or member.stream is None:
+        if age < ONE_WAY_SILENCE_SECONDS or member.stream is None:
             return
-        if now() - member.stream_since >= UNHEARD_SECONDS:
+        if now() - member.stream_since >= ONE_WAY_SILENCE_SECONDS:
             event("INFO", "stream to daemon silent", peer=member.id, age=age)
-            member.stream.broken = True
+            member.stream.peer_receives_nothing = True
             member.push()
 
     def _settings_for(self, have: Revision) -> wire.Message:
@@ -425,7 +425,7 @@
             return self.last_patch
         return wire.Document(current.revision, current.digest, current.document)
 
-    def _take_patch(self, member: Member | None, message: wire.Patch) -> None:
+    def _apply_patch(self, member: Member | None, message: wire.Patch) -> None:
         current = self.revisions.current
         if message.revision != current.revision + 1:
             return
--- a/bayglade/entries/ring.py
+++ b/bayglade/entries/ring.py
@@ -4,12 +4,12 @@
 
 FULL_MESH = 16
 """Up to this many daemons, all of them exchange heartbeats with each other."""
-BEAT_INTERVAL = 1.0
+HEARTBEAT_INTERVAL = 1.0
 """Seconds between heartbeats."""
-BYTES_A_SECOND = 2000.0
+HEARTBEAT_BYTES_PER_SECOND = 2000.0
 """Budget for the heartbeats of one daemon to all its neighbours together."""
-BEAT_BYTES = 32
-ROW_BYTES = 32
+HEARTBEAT_BASE_BYTES = 32
+USAGE_ROW_BYTES = 32
 
 
 def neighbours(me: MemberId, members: list[MemberId]) -> set[MemberId]:
@@ -32,7 +32,7 @@
     return chosen - {me}
 
 
-def rows_a_beat(neighbours: int) -> int:
+def rows_per_heartbeat(neighbours: int) -> int:
     """Return how many groups a heartbeat may report within the byte budget."""
-    allowed = BYTES_A_SECOND * BEAT_INTERVAL / max(1, neighbours) - BEAT_BYTES
-    return max(1, int(allowed / ROW_BYTES))
+    allowed = HEARTBEAT_BYTES_PER_SECOND * HEARTBEAT_INTERVAL / max(1, neighbours) - HEARTBEAT_BASE_BYTES
+    return max(1, int(allowed / USAGE_ROW_BYTES))
--- a/bayglade/entries/streams.py
+++ b/bayglade/entries/streams.py
@@ -25,11 +25,11 @@
 class OutStream:
     """An outgoing stream: opened by this daemon, which sends on it."""
 
-    def __init__(self, sock: socket.socket, sealer: wire.Sealer) -> None:
+    def __init__(self, sock: socket.socket, authenticator: wire.FrameAuthenticator) -> None:
         self.sock = sock
-        self.sealer = sealer
+        self.authenticator = authenticator
         self.sent_bytes = 0
-        self.broken = False
+        self.peer_receives_nothing = False
         """Set when the other side is known to receive nothing: the next send fails."""
 
     def __repr__(self) -> str:
@@ -41,9 +41,9 @@
         :param message: the message.
         :raises OSError: when the stream broke or the send timed out.
         """
-        if self.broken:
+        if self.peer_receives_nothing:
             raise ConnectionError("the other side receives nothing on this stream")
-        frame = self.sealer.seal(message)
+        frame = self.authenticator.seal(message)
         self.sock.sendall(frame)
         self.sent_bytes += len(frame)
 
@@ -55,16 +55,18 @@
 class InStream:
     """An incoming stream: opened by another daemon, and read here."""
 
-    def __init__(self, sock: socket.socket, sealer: wire.Sealer, member: MemberId) -> None:
+    def __init__(
+        self, sock: socket.socket, authenticator: wire.FrameAuthenticator, member: MemberId
+    ) -> None:
         self.sock = sock
-        self.sealer = sealer
+        self.authenticator = authenticator
         self.member = member
         self.received_bytes = 0
 
     def __repr__(self) -> str:
         return f"<InStream from {self.member}>"
 
-    def taken(self) -> int:
+    def take_received_bytes(self) -> int:
         """Return the bytes received since the last call."""
         taken, self.received_bytes = self.received_bytes, 0
         return taken
@@ -81,8 +83,8 @@
         unpacker = msgpack.Unpacker(max_buffer_size=wire.MAX_FRAME_BYTES, raw=False)
         while chunk := self.sock.recv(READ_BYTES):
             self.received_bytes += len(chunk)
-            for frame in _feed(unpacker, chunk):
-                yield self.sealer.open(frame)
+            for frame in _unpack(unpacker, chunk):
+                yield self.authenticator.open(frame)
 
 
 def dial(address: Address, me: MemberId, secret: bytes) -> OutStream:
@@ -100,12 +102,12 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         with eventlet.Timeout(HANDSHAKE_TIMEOUT, PeerError("handshake timed out", step="hello")):
-            key = _greet(sock, me, secret)
+            key = _handshake(sock, me, secret)
         sock.settimeout(SEND_TIMEOUT)
     except BaseException:
         sock.close()
         raise
-    return OutStream(sock, wire.Sealer(key))
+    return OutStream(sock, wire.FrameAuthenticator(key))
 
 
 def accept(sock: socket.socket, secret: bytes) -> InStream:
@@ -123,23 +125,23 @@
         hello = wire.decode_hello(_read_frame(sock))
         if hello.protocol != wire.PROTOCOL:
             raise PeerError(f"unsupported protocol version {hello.protocol}", step="hello")
-        _check(hello.proof, wire.proof(secret, "dial", mine, hello.nonce, hello.member))
+        _verify_proof(hello.proof, wire.proof(secret, "dial", mine, hello.nonce, hello.member))
         sock.sendall(wire.proof(secret, "accept", hello.nonce, mine, hello.member))
     key = wire.stream_key(secret, mine, hello.nonce)
-    return InStream(sock, wire.Sealer(key), hello.member)
+    return InStream(sock, wire.FrameAuthenticator(key), hello.member)
 
 
-def _greet(sock: socket.socket, me: MemberId, secret: bytes) -> bytes:
+def _handshake(sock: socket.socket, me: MemberId, secret: bytes) -> bytes:
     theirs = _read_exactly(sock, wire.NONCE_BYTES)
     mine = wire.new_nonce()
     proof = wire.proof(secret, "dial", theirs, mine, me)
     sock.sendall(wire.encode_hello(wire.Hello(wire.PROTOCOL, me, mine, proof)))
     expected = wire.proof(secret, "accept", mine, theirs, me)
-    _check(_read_exactly(sock, len(expected)), expected)
+    _verify_proof(_read_exactly(sock, len(expected)), expected)
     return wire.stream_key(secret, theirs, mine)
 
 
-def _check(given: bytes, expected: bytes) -> None:
+def _verify_proof(given: bytes, expected: bytes) -> None:
     if not hmac.compare_digest(given, expected):
         raise PeerError("the peer does not hold the shared secret", step="hello")
 
@@ -157,12 +159,12 @@
 def _read_frame(sock: socket.socket) -> object:
     unpacker = msgpack.Unpacker(max_buffer_size=HANDSHAKE_BYTES, raw=False)
     while chunk := sock.recv(HANDSHAKE_BYTES):
-        for frame in _feed(unpacker, chunk):
+        for frame in _unpack(unpacker, chunk):
             return frame
     raise PeerError("the stream ended during the handshake", step="hello")
 
 
-def _feed(unpacker: msgpack.Unpacker, chunk: bytes) -> Iterator[object]:
+def _unpack(unpacker: msgpack.Unpacker, chunk: bytes) -> Iterator[object]:
     """Yield the frames that a chunk completes; raises PeerError for data that is not msgpack."""
     try:
         unpacker.feed(chunk)
--- a/bayglade/entries/wire.py
+++ b/bayglade/entries/wire.py
@@ -29,7 +29,7 @@
 
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 NONCE_BYTES = 16
-SEAL_BYTES = 16
+FRAME_DIGEST_BYTES = 16
 PROTOCOL = 6
 
 
@@ -42,7 +42,7 @@
     proof: bytes
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True):
+class HeldVersion(msgspec.Struct, frozen=True, array_like=True):
     """The version that a server has held for a short while, because of an order that it accepted."""
 
     backend: BackendId
@@ -67,7 +67,7 @@
         return ServerKey(self.backend, self.incarnation)
 
 
-class Sums(msgspec.Struct, frozen=True):
+class LoadSums(msgspec.Struct, frozen=True):
     """The requests in progress that one daemon reports, as of one moment."""
 
     own: list[ServerLoad] = []
@@ -141,7 +141,7 @@
     draining: bool
     usage: list[GroupUsage]
     leaving: list[BackendId]
-    held: list[Held]
+    held: list[HeldVersion]
     loads: list[ServerLoad] = []
     hall_loads: list[ServerLoad] = []
     """The same as ``loads`` for all daemons of the sender's hall; sent by its readers."""
@@ -263,7 +263,7 @@
     """The number of the poll."""
 
 
-class Borrow(msgspec.Struct, frozen=True, tag="w", array_like=True):
+class BorrowRequest(msgspec.Struct, frozen=True, tag="w", array_like=True):
     """Asks a reader for unused retries of its hall."""
 
     number: int
@@ -271,7 +271,7 @@
     wanted: int
 
 
-class Lent(msgspec.Struct, frozen=True, tag="l", array_like=True):
+class BorrowReply(msgspec.Struct, frozen=True, tag="l", array_like=True):
     """Answers a request to borrow; the number is that of the request."""
 
     number: int
@@ -323,8 +323,8 @@
     | Poll
     | Updates
     | StoreUnreachable
-    | Borrow
-    | Lent
+    | BorrowRequest
+    | BorrowReply
     | QuotaRequest
     | QuotaReply
     | QuotaReturn
@@ -335,7 +335,7 @@
 _hello_decoder: msgspec.msgpack.Decoder[Hello] = msgspec.msgpack.Decoder(Hello)
 
 
-class Sealer:
+class FrameAuthenticator:
     """Authenticates the frames of one direction of one stream, in order."""
 
     def __init__(self, key: bytes) -> None:
@@ -343,7 +343,7 @@
         self.count = 0
 
     def __repr__(self) -> str:
-        return f"<Sealer {self.count} frames>"
+        return f"<FrameAuthenticator {self.count} frames>"
 
     def seal(self, message: Message) -> bytes:
         """Encode and authenticate the next message of the stream."""
@@ -372,7 +372,7 @@
     def _digest(self, payload: bytes) -> bytes:
         self.count += 1
         place = self.count.to_bytes(8, "big")
-        return hashlib.blake2b(place + payload, key=self.key, digest_size=SEAL_BYTES).digest()
+        return hashlib.blake2b(place + payload, key=self.key, digest_size=FRAME_DIGEST_BYTES).digest()
 
 
 def new_nonce() -> bytes:
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from bayglade.clock import now
-from bayglade.entries.wire import Borrow, Lent
+from bayglade.entries.wire import BorrowReply, BorrowRequest
 from bayglade.fanout import Send
 from bayglade.ids import MemberId
 from bayglade.questions import Questions
@@ -77,11 +77,11 @@
         budget = self.lent[service]
         return sum(budget.retry() for _ in range(wanted))
 
-    def heard_borrow(self, member: MemberId, message: Borrow) -> None:
+    def heard_borrow(self, member: MemberId, message: BorrowRequest) -> None:
         """Answer a daemon that wants to borrow."""
-        self.push(member, Lent(message.number, self.lend(message.service, message.wanted)))
+        self.push(member, BorrowReply(message.number, self.lend(message.service, message.wanted)))
 
-    def heard_lent(self, member: MemberId, message: Lent) -> None:
+    def heard_lent(self, member: MemberId, message: BorrowReply) -> None:
         """Hand a loan to the request that waits for it; a late one is lost."""
         self.questions.answered(message.number, message.amount)
 
@@ -101,7 +101,7 @@
         reader = readers[self.questions.numbers % len(readers)]
         return (
             self.questions.ask(
-                lambda number: self.push(reader, Borrow(number, service, LOAN)), BORROW_SECONDS
+                lambda number: self.push(reader, BorrowRequest(number, service, LOAN)), BORROW_SECONDS
             )
             or 0
         )
--- a/bayglade/operators/api.py
+++ b/bayglade/operators/api.py
@@ -117,7 +117,7 @@
         """Show how this daemon stands."""
         at = now()
         members = [
-            wire.MemberStatus(m.id, m.live(at), m.revision, m.draining)
+            wire.MemberStatus(m.id, m.is_live(at), m.revision, m.draining)
             for m in self.membership.members.values()
         ]
         return json_response(
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -179,7 +179,7 @@
         """Announce to the others that this gateway is stopping."""
         if self.membership is not None:
             self.membership.draining = True
-            self.membership.beat()
+            self.membership.send_heartbeats()
 
     def count(self) -> int:
         """Return the number of gateways, as far as known here."""
@@ -210,7 +210,7 @@
         if len(self.ranking.ranked) > FULL_MESH:
             readers = self.plan.hall_readers
             return choose_keeper(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
-        gone = self.lost_daemons.since.keys() | self.membership.stopping()
+        gone = self.lost_daemons.since.keys() | self.membership.stopping_members()
         live = [member for member in self.ranking.ranked if member not in gone]
         near = [member for member in live if self.ranking.halls[member] == hall]
         return choose_keeper(server.facts.key, near or live)
@@ -229,8 +229,10 @@
     def _check(self) -> None:
         """Track which gateways are silent and run the periodic tasks."""
         assert self.membership is not None
-        self.membership.watch()
-        self.lost_daemons.update(self.membership.silent(LOST_AFTER_SECONDS), self.membership.heard)
+        self.membership.run_due()
+        self.lost_daemons.update(
+            self.membership.silent_members(LOST_AFTER_SECONDS), self.membership.last_heard
+        )
         self._make_plan()
         self._mark_silent_gone()
         self._sync_stop_rows()
@@ -253,7 +255,7 @@
             # The store was restored to a state in which these were not marked yet.
             eventlet.spawn_n(self._mark_gone, min(back))
             return
-        for member in self.membership.silent(GONE_AFTER_SECONDS):
+        for member in self.membership.silent_members(GONE_AFTER_SECONDS):
             row = self.roster.members.get(member)
             if row is not None and row.hall == self.config.hall:
                 eventlet.spawn_n(self._mark_gone, member)
@@ -340,13 +342,13 @@
             self._receive_heartbeat,
             self.rng,
         )
-        membership.on_due = lambda: self.totals.add_up(self._loads())
+        membership.before_heartbeats = lambda: self.totals.add_up(self._loads())
         membership.sums_for = self.totals.for_member
         membership.on_poll = self._receive_poll
         membership.on_updates = self.fanout.receive_updates
         membership.on_store_unreachable = self.fanout.receive_store_unreachable
         membership.on_findings = self.spreading.heard
-        membership.greet = self.spreading.greeting
+        membership.first_messages = self.spreading.greeting
         membership.on_borrow = self.pools.heard_borrow
         membership.on_lent = self.pools.heard_lent
         membership.on_quota_request = self.quotas.heard_request
@@ -443,11 +445,11 @@
         assert self.membership is not None
         addresses = {name: row.address for name, row in self.roster.members.items()}
         if len(self.ranking.ranked) <= FULL_MESH:
-            self.membership.sync(addresses)
+            self.membership.update_members(addresses)
             return
         wanted = needed_streams(self.config.member, self.ranking, self.plan)
         wanted |= self.fanout.pending_polls.keys() & addresses.keys()
-        self.membership.sync(addresses, wanted)
+        self.membership.update_members(addresses, wanted)
 
     def _receive_heartbeat(self, member: MemberId, beat: wire.Heartbeat) -> None:
         self.totals.hear(member, beat)
@@ -469,7 +471,7 @@
 
     def _send_findings(self, findings: Findings, but: MemberId | None) -> None:
         if self.membership is not None:
-            self.membership.push_all(findings, but)
+            self.membership.broadcast(findings, but)
 
     def _loads(self) -> list[ServerLoad]:
         servers = self.peers.fleet.servers.values()
--- a/bayglade/placement.py
+++ b/bayglade/placement.py
@@ -15,7 +15,7 @@
 from bayglade.clock import now
 from bayglade.engines import Engines
 from bayglade.engines.wire import HoldVersion
-from bayglade.entries.wire import Held
+from bayglade.entries.wire import HeldVersion
 from bayglade.ids import BackendId, ModelName, Version
 from bayglade.leases import Lease
 from bayglade.logs import event
@@ -158,11 +158,11 @@
         for order in next_orders(tree, self._holdings()):
             self._give(tree, order)
 
-    def recent(self) -> list[Held]:
+    def recent(self) -> list[HeldVersion]:
         """List the servers that came to hold a version lately, for the other daemons."""
         at = now()
         return [
-            Held(backend, placed.version)
+            HeldVersion(backend, placed.version)
             for backend, placed in self.placed.items()
             if placed.done and at - placed.at < TELL_SECONDS
         ]
--- a/bayglade/totals.py
+++ b/bayglade/totals.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from bayglade.clock import now
-from bayglade.entries.wire import Heartbeat, ServerLoad, Sums
+from bayglade.entries.wire import Heartbeat, LoadSums, ServerLoad
 from bayglade.ids import HallName, MemberId, ServerKey
 
 FRESH_SECONDS = 3.5
@@ -49,7 +49,7 @@
         self.me = me
         self.halls: dict[MemberId, HallName] = {}
         self.readers: Mapping[HallName, Sequence[MemberId]] = {}
-        self.sums = Sums()
+        self.sums = LoadSums()
         """What was told with the last heartbeat."""
 
         self.told: dict[MemberId, Told] = {}
@@ -84,22 +84,22 @@
         :param own: the sums of this daemon.
         """
         if self.reading():
-            self.sums = Sums(own, self.hall_sum(own), self.everywhere(own))
+            self.sums = LoadSums(own, self.hall_sum(own), self.everywhere(own))
         else:
-            self.sums = Sums(own)
+            self.sums = LoadSums(own)
 
-    def for_member(self, member: MemberId) -> Sums:
+    def for_member(self, member: MemberId) -> LoadSums:
         """Return what another daemon needs of the sums.
 
         :param member: the daemon.
         """
         if not self.readers:
-            return Sums(self.sums.own)
+            return LoadSums(self.sums.own)
         hall = self.halls.get(member, HallName(""))
         if hall == self.halls.get(self.me):
             own = self.sums.own if member in self.readers.get(hall, ()) else []
-            return Sums(own, [], self.sums.everywhere)
-        return Sums([], self.sums.hall, [])
+            return LoadSums(own, [], self.sums.everywhere)
+        return LoadSums([], self.sums.hall, [])
 
     def hall_sum(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
         """Return the sum over this daemon's hall, its own sums among it.
--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -316,7 +316,7 @@
 def heartbeat_slope() -> None:
     """Measure a heartbeat by the groups that it tells of, and the state kept of a neighbour."""
     rows = []
-    sealer = entries_wire.Sealer(b"k" * 32)
+    sealer = entries_wire.FrameAuthenticator(b"k" * 32)
     for groups in (0, 8, 16, 32, 64):
         usage = Usage()
         for n in range(groups):
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -9,7 +9,7 @@
 from bayglade.clock import now
 from bayglade.config import Address
 from bayglade.entries import streams, wire
-from bayglade.entries.ring import BYTES_A_SECOND, FULL_MESH, neighbours, rows_a_beat
+from bayglade.entries.ring import FULL_MESH, HEARTBEAT_BYTES_PER_SECOND, neighbours, rows_per_heartbeat
 from bayglade.exceptions import PeerError
 from bayglade.ids import GroupPath, MemberId, Revision
 from bayglade.usage import Usage
@@ -86,7 +86,7 @@
 def test_a_stream_with_a_fault_is_given_up(name, fault):
     acceptor = Acceptor()
     stream = streams.dial(acceptor.address, MemberId("d1"), SECRET)
-    frames = stream.sealer.seal(beat(1)), stream.sealer.seal(beat(2))
+    frames = stream.authenticator.seal(beat(1)), stream.authenticator.seal(beat(2))
     stream.sock.sendall(fault(*frames))
     # A frame that is announced too large ends with the silence that follows.
     assert isinstance(acceptor.wait().error, PeerError | TimeoutError)
@@ -124,9 +124,9 @@
     for n in range(300):
         usage.ask(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
         usage.charge(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
-    sealer = wire.Sealer(b"k" * 32)
-    rows = usage.tell(rows_a_beat(neighbour_count))
-    assert len(sealer.seal(beat(1234, rows))) * neighbour_count <= BYTES_A_SECOND * 1.2
+    sealer = wire.FrameAuthenticator(b"k" * 32)
+    rows = usage.tell(rows_per_heartbeat(neighbour_count))
+    assert len(sealer.seal(beat(1234, rows))) * neighbour_count <= HEARTBEAT_BYTES_PER_SECOND * 1.2
 
 
 def test_all_groups_are_told_in_turn():
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -9,7 +9,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from bayglade.entries.wire import Sealer, decode_hello
+from bayglade.entries.wire import FrameAuthenticator, decode_hello
 from bayglade.exceptions import InvalidSettings, PeerError
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, MemberId
@@ -185,10 +185,10 @@
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.binary(max_size=60) | FOREIGN_VALUES.map(packed_message))
 def test_no_bytes_break_a_stream_of_another_daemon(data: bytes) -> None:
-    sealer = Sealer(b"k" * 32)
+    sealer = FrameAuthenticator(b"k" * 32)
     for frame in ([b"", data], [sealer._digest(data), data], data, [data]):
         with pytest.raises(PeerError):
-            Sealer(b"k" * 32).open(frame)
+            FrameAuthenticator(b"k" * 32).open(frame)
         with pytest.raises(PeerError):
             decode_hello(frame)
 
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -152,12 +152,12 @@
     made: Any = Membership.__new__(Membership)
     made.me, made.secret, made.rng, made.bytes_out = MemberId("me"), b"s", random.Random(1), 0
     made._heartbeat = lambda member: "heartbeat"
-    made.greet = lambda: [Findings(proven=[fingerprint_of(call(), KEY)])]
+    made.first_messages = lambda: [Findings(proven=[fingerprint_of(call(), KEY)])]
     task = eventlet.spawn(made._send, Member(MemberId("new"), parse_address("127.0.0.1:1")))
     eventlet.sleep(0)
     eventlet.sleep(0)
     task.kill()
-    assert sent == [*made.greet(), "heartbeat"]
+    assert sent == [*made.first_messages(), "heartbeat"]
 
 
 def test_an_answer_at_the_daemon_that_told_of_a_break_clears_it_everywhere(clock: Clock) -> None:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bayglade import lending, retries
-from bayglade.entries.wire import Borrow, Lent, Message
+from bayglade.entries.wire import BorrowReply, BorrowRequest, Message
 from bayglade.ids import MemberId
 from bayglade.lending import LOAN, LOAN_SECONDS, Pools
 from bayglade.retries import RetryBudget
@@ -52,8 +52,8 @@
     pools, sent = a_reader(clock)
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     for number in range(8):
-        pools.heard_borrow(MemberId("d5"), Borrow(number, SERVICE, LOAN))
-    assert [message.amount for message in sent if isinstance(message, Lent)] == [LOAN] * 5 + [0] * 3
+        pools.heard_borrow(MemberId("d5"), BorrowRequest(number, SERVICE, LOAN))
+    assert [message.amount for message in sent if isinstance(message, BorrowReply)] == [LOAN] * 5 + [0] * 3
 
 
 def test_a_loan_is_used_after_the_own_budget_and_ends(clock: ManualClock) -> None:
@@ -68,7 +68,7 @@
 
 def test_an_answer_that_nobody_waits_for_is_passed_over(clock: ManualClock) -> None:
     pools, _ = a_reader(clock)
-    pools.heard_lent(MemberId("d1"), Lent(99, LOAN))
+    pools.heard_lent(MemberId("d1"), BorrowReply(99, LOAN))
     assert pools.questions.waiting == {}
 
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -9,8 +9,8 @@
 
 from bayglade.config import Address
 from bayglade.entries import membership, streams
-from bayglade.entries.membership import UNHEARD_SECONDS, Member, Membership
-from bayglade.entries.wire import Heartbeat, Sealer
+from bayglade.entries.membership import ONE_WAY_SILENCE_SECONDS, Member, Membership
+from bayglade.entries.wire import FrameAuthenticator, Heartbeat
 from bayglade.exceptions import PlatformUnavailable
 from bayglade.ids import MemberId, Revision
 from bayglade.metrics import Metrics
@@ -105,7 +105,7 @@
     )
     other = Member(MemberId("b"), Address("127.0.0.1", 1))
     near, _ = socket.socketpair()
-    other.stream = streams.OutStream(near, Sealer(b"k" * 32))
+    other.stream = streams.OutStream(near, FrameAuthenticator(b"k" * 32))
     other.stream_since = at - stream_age
     me.members[other.id] = other
     return me, other
@@ -121,9 +121,9 @@
     ("heard_age", "stream_age", "broken"),
     [
         (0.0, 60.0, False),
-        (UNHEARD_SECONDS - 0.5, 60.0, False),
-        (UNHEARD_SECONDS + 0.5, 60.0, True),
-        (UNHEARD_SECONDS + 0.5, 1.0, False),
+        (ONE_WAY_SILENCE_SECONDS - 0.5, 60.0, False),
+        (ONE_WAY_SILENCE_SECONDS + 0.5, 60.0, True),
+        (ONE_WAY_SILENCE_SECONDS + 0.5, 1.0, False),
     ],
     ids=["never heard", "heard lately", "not heard", "a new stream"],
 )
@@ -133,15 +133,15 @@
     me, other = hearing(monkeypatch, stream_age)
     me._handle(other.id, beat(heard_age))
     assert other.stream is not None
-    assert other.stream.broken is broken
+    assert other.stream.peer_receives_nothing is broken
     if broken:
-        with pytest.raises(OSError, match="hears nothing"):
+        with pytest.raises(OSError, match="receives nothing"):
             other.stream.send(beat(0.0))
 
 
 def test_a_heartbeat_says_how_long_ago_its_receiver_was_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     me, other = hearing(monkeypatch, 60.0)
-    me.heard[other.id] = 97.5
+    me.last_heard[other.id] = 97.5
     assert me._heartbeat(other.id).heard_age == pytest.approx(2.5)
     assert me._heartbeat(MemberId("c")).heard_age == 0.0
 
