--- a/tests/clocks.py
+++ b/tests/clocks.py
@@ -1,11 +1,11 @@
-"""A clock for tests of decisions that go by the time."""
+"""A manual clock for tests of time-dependent decisions."""
 
 START = 100.0
-"""Time at which it stands first, in seconds."""
+"""Its initial time, in seconds."""
 
 
 class ManualClock:
-    """A clock that moves only as told."""
+    """A clock that advances only when told to."""
 
     def __init__(self) -> None:
         self.at = START
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,7 +1,7 @@
-"""Many daemons in virtual time: each follows three tables of one store and tells the others of them.
+"""Many daemons in virtual time, each following three tables of one store and relaying them to the others.
 
-Feeds and fan-out are the product's own and run as they do there; the store, the streams
-between daemons and what a daemon notices of others are simulated, with faults.
+Feeds and fan-out are the production code. The store, the streams between daemons and the detection
+of silent daemons are simulated, with faults.
 """
 
 import random
@@ -33,26 +33,26 @@
 from tests.virtual_time import now
 
 BOUND = 2.0
-"""Seconds within which a leaving server must be known, unless a fleet has another bound."""
+"""Seconds within which a leaving server must be known, unless a fleet sets another bound."""
 
 TABLES = ("document", "servers", "members")
 ROSTER_BOUND = 50.0
 ROUND_TRIP = 0.004
 STREAM_SECONDS = 0.001
 WATCH_SECONDS = 0.5
-"""Time between a daemon's looks at who is silent, as in the product."""
+"""Interval of a daemon's check for silent daemons, as in production."""
 
 Refuses = Callable[[MemberId, str], float | None]
-"""Says what becomes of a call of a daemon for a table: nothing for an answer, else the seconds after
-which it fails; more than an answer may take for silence."""
+"""Decides a daemon's call for a table: None for an answer, else the seconds after which it fails. A time
+longer than an answer may take stands for silence."""
 
 SILENCE = 1e9
 
 
 class Store:
-    """A store whose calls fail as told, and that may come back from an older copy.
+    """A store whose calls fail as configured, and that can be restored from an older backup.
 
-    :param patience: seconds for which callers wait for an answer beside the wait that they ask for.
+    :param patience: seconds for which callers wait for an answer beyond the wait they request.
     """
 
     def __init__(self, patience: float) -> None:
@@ -61,30 +61,30 @@
         self.refuses: Refuses = lambda member, table: None
         self.forgets_before = 0
         self.mute_before = 0.0
-        """Calls that were sent before this time are never answered, though later ones are."""
+        """Calls sent before this time are never answered, although later ones are."""
 
         self.mute_tables = frozenset(TABLES)
         self.answer_seconds = ROUND_TRIP
         self.calls: Counter[tuple[MemberId, str]] = Counter()
         self.epoch = UNKNOWN_EPOCH
-        """Told in all answers."""
+        """The epoch named in all answers."""
 
         self.restores = 0
         self.written_in: dict[tuple[str, int], int] = {}
-        """How often the store had been restored when each version of a table was written."""
+        """The number of restores before each version of a table was written."""
 
     def write(self, table: str) -> None:
-        """Write the row of a table anew."""
+        """Write the row of a table again."""
         self.versions[table] += 1
         self.written_in[table, self.versions[table]] = self.restores
 
     def value(self, table: str) -> msgspec.Raw:
-        """Return the row of a table: another one for each write, though versions are given out again."""
+        """Return the row of a table; it differs for each write even where a version is assigned again."""
         version = self.versions[table]
         return encode_value([self.written_in.get((table, version), 0), version])
 
     def restore(self, lost: int) -> None:
-        """Come back as it was some writes ago; calls under way are never answered."""
+        """Return to the state before some writes; calls in progress are never answered."""
         self.versions = {table: max(1, version - lost) for table, version in self.versions.items()}
         self.restores += 1
         if self.epoch != UNKNOWN_EPOCH:
@@ -92,7 +92,7 @@
 
 
 class Client:
-    """The store as one daemon calls it."""
+    """A client of the store for one daemon."""
 
     def __init__(self, store: Store, member: MemberId) -> None:
         self.store = store
@@ -131,7 +131,7 @@
 
 
 class Daemon:
-    """One daemon: its feeds, its part in passing updates on, and how it finds out who reads."""
+    """One daemon: its feeds, its fan-out, and its choice of readers."""
 
     def __init__(self, name: MemberId, fleet: "Fleet") -> None:
         self.name = name
@@ -140,7 +140,7 @@
         bounds = dict(zip(TABLES, (fleet.bound, fleet.bound, ROSTER_BOUND), strict=True))
         history = StoreHistory()
         self.taken: dict[str, msgspec.Raw | None] = {}
-        """The row of each table as it was taken in."""
+        """The row of each table as last applied."""
 
         self.feeds = {
             table: Feed(
@@ -167,7 +167,7 @@
             self.taken[table] = value
 
     def known(self, table: str) -> int | None:
-        """Return up to which version it knows a table."""
+        """Return the version of the local copy of a table."""
         position = self.feeds[table].position
         return position.version if position is not None else None
 
@@ -219,7 +219,7 @@
             self.plan = plan
             self.fanout.set_sources(plan.sources)
         wanted = needed_streams(self.name, self.fleet.ranking, plan) | self.fanout.pending_polls.keys()
-        # In order, so that a seed plays the same each time.
+        # Sorted, so that a seed always gives the same run.
         self.streams = {member: self.streams.get(member, now()) for member in sorted(wanted)}
         self.fanout.poll_sources()
 
@@ -227,9 +227,9 @@
 class Fleet:
     """Daemons and their store.
 
-    :param daemons: how many there are.
-    :param halls: how many halls they stand in.
-    :param seed: of all chance.
+    :param daemons: the number of daemons.
+    :param halls: the number of data halls.
+    :param seed: seed of all random numbers.
     :param bound: seconds within which changes of servers and documents must be known.
     """
 
@@ -238,7 +238,7 @@
         self.bound = bound
         self.store = Store(answer_timeout(bound))
         self.mute: set[MemberId] = set()
-        """Daemons that say and hear nothing, though they seem to run."""
+        """Daemons that send and receive nothing although they run."""
 
         names = {MemberId(f"front-{n}"): HallName(f"h{n % halls}") for n in range(daemons)}
         self.ranking = Ranking(names)
@@ -249,27 +249,27 @@
             daemon.start()
 
     def live(self) -> list[Daemon]:
-        """List the daemons that are heard."""
+        """List the daemons that are not muted."""
         return [daemon for name, daemon in self.daemons.items() if name not in self.mute]
 
     def restart(self, name: MemberId) -> None:
-        """Have a daemon start anew, with nothing known."""
+        """Restart a daemon with no state."""
         self.daemons[name].stop()
         self.daemons[name] = Daemon(name, self)
         self.daemons[name].start()
 
     def leave(self) -> float:
-        """Have a server leave; return when."""
+        """Announce that a server leaves; return when."""
         self.store.write("servers")
         return now()
 
     def unaware(self) -> list[MemberId]:
-        """List the daemons that are heard and do not know yet that the last server leaves."""
+        """List the daemons that are not muted and don't know yet that the last server leaves."""
         value = self.store.value("servers")
         return [d.name for d in self.live() if d.taken.get("servers") != value]
 
 
 def patch_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the product's modules that a fleet runs go by virtual time."""
+    """Make the production modules that a fleet uses read virtual time."""
     for module in (epochs, fanout, feeds, readers):
         monkeypatch.setattr(module, "now", now)
--- a/tests/test_catchup.py
+++ b/tests/test_catchup.py
@@ -1,4 +1,4 @@
-"""A daemon that starts serves only once others have confirmed its settings, or cannot be asked."""
+"""A starting daemon serves only once others have confirmed its settings or cannot be asked."""
 
 import random
 from types import SimpleNamespace
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Streams between daemons: greeting, seals, bounds; neighbours; what others tell."""
+"""Streams between daemons (handshake, frame authentication, limits), neighbours and usage reports."""
 
 import socket
 import threading
@@ -24,7 +24,7 @@
 
 
 class Acceptor:
-    """Accepts one stream in a thread and keeps what came of it."""
+    """Accepts one stream in a thread and records the outcome."""
 
     def __init__(self, secret=SECRET):
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -88,7 +88,7 @@
     stream = streams.dial(acceptor.address, MemberId("d1"), SECRET)
     frames = stream.authenticator.seal(beat(1)), stream.authenticator.seal(beat(2))
     stream.sock.sendall(fault(*frames))
-    # A frame that is announced too large ends with the silence that follows.
+    # A frame whose announced length is too large is never complete, so reading it times out.
     assert isinstance(acceptor.wait().error, PeerError | TimeoutError)
     assert len(acceptor.messages) <= 1
     stream.close()
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -1,4 +1,4 @@
-"""Fan-out of updates: who reads, how old an update is, and what happens when readers fall silent."""
+"""Fan-out: who reads, how old an update is, and what happens when readers go silent."""
 
 import time
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 
 
 class Clock:
-    """The clock of both daemons; it moves only as told."""
+    """The clock of all daemons; it advances only when told to."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -36,7 +36,7 @@
 
 
 class Table:
-    """A table of the store: answers at once with all that changed."""
+    """A table of the store that answers at once with everything that changed."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[int, msgspec.Raw | None]] = {}
@@ -63,7 +63,7 @@
 
 
 class Daemon:
-    """One daemon: a feed of one table, what it took in, and its part in passing updates on."""
+    """One daemon: a feed of one table, the rows applied, and its fan-out."""
 
     def __init__(self, table: Table) -> None:
         self.taken: dict[str, bytes | None] = {}
@@ -92,7 +92,7 @@
 
 @pytest.fixture
 def hall(clock: Clock) -> tuple[Table, Daemon, Daemon]:
-    """Return a table, a reader that has read it, and a follower that knows nothing."""
+    """Return a table, a reader that has read it, and a follower without any rows."""
     table = Table()
     reader, follower = Daemon(table), Daemon(table)
     reader.fanout.set_sources(())
@@ -103,7 +103,7 @@
 
 
 def exchange(reader: Daemon, follower: Daemon) -> None:
-    """Carry one question and its answer over."""
+    """Deliver one poll and its answer."""
     follower.fanout.poll_sources()
     ask = follower.sent()
     assert isinstance(ask, Poll)
@@ -143,8 +143,8 @@
     answer = reader.sent()
     clock.at += 4.0
     follower.fanout.receive_updates(MemberId("d0"), answer)  # type: ignore[arg-type]
-    # Only the time between the question and the answer is known to have passed at the reader:
-    # none, and its own knowledge was 3.5 seconds old.
+    # The follower cannot know when within these 7 s the reader answered, so it counts from its poll and
+    # adds the reported age of 3.5 s.
     assert follower.feed.age() == pytest.approx(7.0 + 3.5)
     assert follower.feed._seconds_to_call() <= 0
 
@@ -212,7 +212,7 @@
     answer = next(message for member, message in middle.outbox if member == "d9")
     last.fanout.receive_updates(MemberId("d5"), answer)  # type: ignore[arg-type]
     assert last.taken == {"a": b"1"}
-    # The reader read 0.4 s ago; the last one's question lay there for as long.
+    # The reader read the table 0.4 s ago, and the poll of the last daemon was pending for as long.
     assert last.feed.age() == pytest.approx(0.4)
     assert table.calls == 1
 
@@ -261,7 +261,7 @@
     assert follower.taken == {"a": b"2"}
     assert follower.feed.failing_since is None
     assert follower.feed._seconds_to_call() > 0
-    # The reader never lost the store: what is gone there is gone, and did not lapse.
+    # The reader never lost the store, so rows missing there were removed and did not expire in an outage.
     assert follower.feed.recovered_at == 0.0
 
 
@@ -378,8 +378,8 @@
 def test_an_update_that_takes_its_sender_out_of_the_roster_is_taken(
     hall: tuple[Table, Daemon, Daemon],
 ) -> None:
-    # 31.1447 fanout.py heard_updates: del self.asked[member]: KeyError: 'front-hall-c-20', in three
-    # daemons at once; the task that reads the stream of that daemon ended with it.
+    # This update ended the receiving task with a KeyError in ``receive_updates``, on three daemons at once:
+    # applying it made the daemon forget the poll that the update answered.
     table, reader, follower = hall
     follower.feed.apply = lambda changes, whole: follower.fanout.forget(())
     exchange(reader, follower)
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -1,4 +1,4 @@
-"""Feeds: how old what they know may be, and how they go on after trouble."""
+"""Feeds: the age of the local copy, and recovery after failures."""
 
 from collections import Counter
 
@@ -17,9 +17,9 @@
 
 
 class Script:
-    """A store that answers as told, and the clock that its answers move.
+    """A store that gives scripted answers, and the clock that they advance.
 
-    An answer is the seconds it takes (nothing: the whole wait), and what it brings.
+    An answer is the seconds it takes (None for the whole wait) and its content.
     """
 
     def __init__(self, *answers: tuple[float | None, object]) -> None:
@@ -74,7 +74,7 @@
 
 
 def test_after_a_late_change_the_next_call_waits_for_less(follow) -> None:  # type: ignore[no-untyped-def]
-    # On khangai scale-1 the settings were too old for keys after each such change.
+    # Without the shorter wait, settings grew too old for keys after each such change on khangai scale-1.
     feed, script = follow((1.9, ROW), (None, {}))
     assert script.waits[1] == pytest.approx(MAX_AGE_IN_WAITS * WAIT - 1.9)
     assert feed.age() == pytest.approx(ROUND_TRIP)
@@ -102,7 +102,7 @@
 
 
 class LostStore:
-    """A store that is away, then back."""
+    """A store that is unavailable at first and then recovers."""
 
     def __init__(self) -> None:
         self.lost = True
@@ -127,7 +127,7 @@
         feed.start()
     eventlet.sleep(SECONDARY_RETRY_DELAY * 0.6)
     assert store.calls["first"] >= 4
-    # Each asked when the store was lost, and once more since another feed found it lost too.
+    # Each called once when the store was lost, and once more because another feed found it lost too.
     assert max(store.calls["b"], store.calls["c"]) <= 3
     store.lost = False
     eventlet.sleep(MAX_RETRY_DELAY + 0.2)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Times that follow from a bound add up to less than it, whichever single thing fails."""
+"""The timeouts derived from a bound add up to less than the bound when any single thing fails."""
 
 import pytest
 from hypothesis import given, settings
@@ -15,7 +15,7 @@
 )
 
 CALL_SECONDS = 0.02
-"""A connect and a call of the store at 4 ms an answer, and two steps between daemons."""
+"""A connection and a call of the store at 4 ms an answer, and two hops between daemons."""
 
 
 @given(st.floats(MIN_BOUND_SECONDS, 60.0))
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -1,13 +1,10 @@
-"""A server that leaves must be known to leave within the bound, whatever the store did before.
+"""A leaving server must be known to be leaving within the bound, whatever the store did before.
 
-The store answered nobody for seven seconds. When it was back, the feed of the operator's
-document had an answer within 0.5 s and woke the feed of servers, which was in a call that it had
-sent while the store was away: the wake-up was lost. That call ran into its time-out, and then the
-feed paused for 4 s more, since another feed was to look for the store. For 5.7 s after the store's
-return no daemon heard of servers; one left in that time and got requests for two seconds and more.
-
-    12.2531 store regained table=op out=4.48
-    17.4473 store regained table=servers out=9.68
+In an incident the store was unavailable for seven seconds. When it recovered, the feed of the
+operator's document got an answer within 0.5 s and woke the feed of servers. That feed was in a call
+sent during the outage, so the wake-up was lost: the call timed out, and the feed then backed off
+for 4 s more because another feed was probing the store. For 5.7 s after the recovery no daemon
+learned about servers. One that left in that time received requests for more than two seconds.
 """
 
 import random
@@ -30,12 +27,12 @@
 from tests.virtual_time import START, now, run_virtually
 
 BOUND = 2.0
-"""Seconds within which a leaving server must be known, as on the deployment of the incident."""
+"""Seconds within which a leaving server must be known, as configured in the incident."""
 ANSWER_SECONDS = 1.0
-"""How long a call waits for an answer beside the wait that it asks for."""
+"""Seconds for which a call waits for an answer beyond the wait it requests."""
 ROUND_TRIP = 0.004
 LEAVES_AFTER_SECONDS = 2.53
-"""How long after the store's return the server left in the incident."""
+"""Seconds between the store's recovery and the server's leaving in the incident."""
 
 SECONDS_AWAY = (1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 6.77, 8.0, 9.0, 10.0, 12.0, 15.0)
 SEEDS = 8
@@ -44,7 +41,7 @@
 
 
 class Store:
-    """A store in virtual time that answers nobody while it is away; times count from the start."""
+    """A store in virtual time that answers no call while it is away; times count from the start."""
 
     def __init__(self, away_from: float, away_until: float) -> None:
         self.away_from = START + away_from
@@ -61,7 +58,7 @@
         sent, silent = now(), self.away()
         while not silent and self.versions[table] <= after.version and now() < sent + wait:
             eventlet.sleep(0.01)
-            # A call that is under way when the store goes away is never answered.
+            # A call in progress when the store goes away is never answered.
             silent = self.away()
         if silent:
             eventlet.sleep(sent + wait + ANSWER_SECONDS - now())
@@ -73,7 +70,7 @@
 
 
 def known_after(seconds_away: float, seed: int) -> float:
-    """Return how long after a server left a daemon knows of it, when the store was away before."""
+    """Return how many seconds after a server left a daemon knows it, if the store was away before."""
     store = Store(away_from=5.0, away_until=5.0 + seconds_away)
     joined = [Feed(store, table, wait, lambda *_: None) for table, wait in WAITS.items()]
     link_feeds(joined)
@@ -99,20 +96,20 @@
 
 
 CONTACT_SECONDS = 3.0
-"""A daemon that something hit has so long to know again all that it must know."""
+"""Seconds within which a daemon that was affected by a fault must be up to date again."""
 
 FAULT_AT = 6.0
 NEVER_SECONDS = 30.0
-"""A change that is not known after so long never will be."""
+"""A change that is not known after so many seconds never will be."""
 
 LEAVES_AFTER = (0.05, 0.6, 1.3, 2.5)
-"""Seconds from the end of a fault to when a server leaves."""
+"""Seconds between the end of a fault and the server's leaving."""
 
 SIZES = ((1, 1), (6, 3), (23, 5))
-"""Daemons and halls; daemons of the last ask daemons that ask others."""
+"""Numbers of daemons and halls; in the last, daemons poll daemons that poll others."""
 
 Fault = Callable[[Fleet], Iterator[float]]
-"""Does its harm to a fleet, and yields the seconds for which it lasts."""
+"""Applies a fault to a fleet, and yields the seconds for which it lasts."""
 
 
 def store_away(fleet: Fleet, after: float, seconds: float, *tables: str) -> Iterator[float]:
@@ -195,7 +192,7 @@
 
 
 def known_after_fault(fault: Fault, size: tuple[int, int], leaves_after: float, seed: int) -> float:
-    """Return by how many seconds the last daemon is late to know of a server that leaves after a fault."""
+    """Return how many seconds too late the last daemon learns that a server leaves after a fault."""
     fleet = Fleet(*size, seed)
     fleet.start()
     eventlet.sleep(FAULT_AT + fleet.rng.random())
@@ -224,7 +221,7 @@
 
 
 def known_though_mute(places: tuple[int, ...], leaves_after: float, seed: int) -> float:
-    """Return how long after a server left all daemons know it, when some fell silent just before."""
+    """Return how many seconds after a server left all daemons know it, if some were muted just before."""
     fleet = Fleet(23, 5, seed)
     fleet.start()
     eventlet.sleep(FAULT_AT + fleet.rng.random())
@@ -250,7 +247,7 @@
 
 
 def refuse_readers(fleet: Fleet, table: str) -> list[MemberId]:
-    """Have the store refuse one table to the readers of the site; return the other daemons."""
+    """Make the store refuse one table to the readers of the site; return the other daemons."""
     turned = set(fleet.ranking.ranked[:READER_COUNT])
     fleet.store.refuses = lambda member, asked: 0.01 if member in turned and asked == table else None
     return fleet.ranking.ranked[READER_COUNT:]
@@ -272,7 +269,7 @@
 def test_a_table_that_its_readers_lack_is_read_by_those_who_need_it(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The readers' other tables are fresh all the while.
+    # The readers' other tables stay fresh all the while.
     fleets.patch_clock(monkeypatch)
     assert run_virtually(partial(known_by_others, seed)) <= BOUND
 
@@ -306,6 +303,6 @@
         return fleet.store.calls - before
 
     made = run_virtually(calls)
-    # Two readers follow three tables; each call for two of these waits 0.8 s.
+    # Two readers follow three tables; calls for two of these wait 0.8 s.
     assert len({member for member, _ in made}) == READER_COUNT
     assert made.total() <= READER_COUNT * (2 * 20.0 / poll_wait(BOUND) + 4)
--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -1,4 +1,4 @@
-"""Rows of daemons that a restored store has lost: who counts as there, and what is written again."""
+"""Rows of daemons lost in a restore of the store: who remains a member, and what is rewritten."""
 
 import random
 import time
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -1,4 +1,4 @@
-"""Readers: who follows the store and whom the others ask, whoever is lost, cut off or turned away."""
+"""Readers: which daemons follow the store and which they poll when some are silent or cut off from it."""
 
 from collections import Counter
 from collections.abc import Callable, Collection
@@ -25,7 +25,7 @@
 
 DRAIN_SECONDS = 4.0
 KEY_TRUST_SECONDS = 3.8
-"""Age at which settings are no longer trusted with keys, at the users' bound of 5 s."""
+"""Age at which settings are no longer trusted with keys, for the configured bound of 5 s."""
 STEP = 0.1
 
 
@@ -100,17 +100,17 @@
 
 DAEMONS, HALLS = 200, 5
 SETTLED_SECONDS = 8.0
-"""Time after the start in which daemons find each other."""
+"""Seconds after the start in which daemons find each other."""
 
 QUICK_TABLES = 2
-"""Tables that followers may not go without for longer than a few seconds."""
+"""Tables that followers may miss for a few seconds at most."""
 
 CALLS_A_SECOND = 4.0 * QUICK_TABLES
-"""Two readers of the site and a call each 1.6 s for each table, with as much again to spare."""
+"""Two readers of the site with one call per table every 1.6 s, and as much again in reserve."""
 
 
 def in_fleet(monkeypatch: pytest.MonkeyPatch, scenario: Callable[[Fleet], None]) -> None:
-    """Run a scenario with many daemons that have settled, in virtual time."""
+    """Run a scenario in virtual time, with many daemons that have settled."""
     fleets.patch_clock(monkeypatch)
 
     def run() -> None:
@@ -123,20 +123,21 @@
 
 
 def refuse(fleet: Fleet, members: Collection[MemberId]) -> None:
-    """Have the store turn away some daemons, and no others."""
+    """Make the store refuse the calls of these daemons only."""
     turned = set(members)
     fleet.store.refuses = lambda member, table: ROUND_TRIP if member in turned else None
 
 
 def calls_within(fleet: Fleet, seconds: float) -> int:
-    """Return how many calls of the store there are while all stays fresh."""
+    """Return the number of calls of the store while all tables stay fresh."""
     before = fleet.store.calls.total()
     assert_fresh(fleet, seconds)
     return fleet.store.calls.total() - before
 
 
 def assert_fresh(fleet: Fleet, seconds: float) -> None:
-    """Run for a while; a change made at its start is known everywhere, and nobody's knowledge gets old."""
+    """Run for a while; check that a change made at the start is known everywhere and no copy gets too
+    old."""
     fleet.store.versions["document"] += 1
     fleet.leave()
     oldest = 0.0
@@ -165,8 +166,8 @@
     def scenario(fleet: Fleet) -> None:
         halls = fleet.daemons[fleet.ranking.ranked[-1]].plan.hall_readers
         fleet.mute = {fleet.ranking.ranked[place] for place in places}
-        # Both readers lost at once, of the site or of a hall, leave those who ask them without word for
-        # as long as it takes to notice.
+        # If both readers of the site or of a hall are lost at once, the daemons that poll them get no
+        # updates until they notice.
         without = sum(
             len(fleet.ranking.by_hall[h]) for h, names in halls.items() if fleet.mute >= set(names)
         )
--- a/tests/test_restored_fleets.py
+++ b/tests/test_restored_fleets.py
@@ -1,4 +1,4 @@
-"""Many daemons, and a store that comes back from older copies in any order of events, in virtual time."""
+"""Many daemons in virtual time, and a store that is restored from backups amid random events."""
 
 from collections.abc import Callable, Iterator
 
@@ -16,13 +16,13 @@
 SIZES = ((6, 3), (23, 5))
 LARGE = (200, 5)
 SETTLE_SECONDS = 6.0
-"""Time in which all daemons that are heard know again what holds, once nothing more goes wrong."""
+"""Seconds after the last fault in which all daemons that are not muted have the current rows again."""
 
 CHECK_SECONDS = 0.1
 
 
 class History:
-    """Up to where each table was known to the store at each time."""
+    """The position of each table in the store over time."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -35,16 +35,16 @@
         self.points.append((now(), known))
 
     def at(self, time: float, table: str) -> Position | None:
-        """Return up to where a table was known at a time."""
+        """Return the position of a table at a time."""
         return next((known[table] for at, known in reversed(self.points) if at <= time), None)
 
     def overrated(self) -> list[str]:
-        """List the daemons that take for newest what was not, by when and what they know."""
+        """List daemons that consider a table current as of a time when the store was already ahead."""
         found = []
         for daemon in self.fleet.live():
             for table, feed in daemon.feeds.items():
                 least = self.at(feed.known_at, table)
-                # A table that is about to be read whole is still known as it was.
+                # A table that waits for a snapshot still has its earlier rows.
                 known = feed.position or feed.history_gone_after
                 if least is not None and (known is None or known < least):
                     found.append(f"{daemon.name} {table}: {known} at {feed.known_at}, not {least}")
@@ -52,7 +52,7 @@
 
 
 Event = tuple[str, float, int]
-"""What happens, for how long or after which time, and how much."""
+"""The kind of event, its duration or delay in seconds, and its amount."""
 
 EVENTS = strategies.tuples(
     strategies.sampled_from(["restored", "written", "readers silent", "some refused", "quiet"]),
@@ -62,7 +62,7 @@
 
 
 def play(fleet: Fleet, history: History, event: Event) -> Iterator[float]:
-    """Have something happen to a fleet; yield the seconds for which it lasts."""
+    """Apply an event to a fleet; yields the seconds for which it lasts."""
     kind, seconds, amount = event
     store = fleet.store
     if kind == "restored":
@@ -90,7 +90,7 @@
 
 
 def play_all(size: tuple[int, int], seed: int, events: list[Event]) -> list[str]:
-    """Return what was wrong when these events came to a fleet."""
+    """Play events on a fleet; return the violations found."""
     fleet = Fleet(*size, seed)
     fleet.store.epoch = StoreEpoch(1)
     for table in TABLES:
@@ -144,7 +144,7 @@
 
 
 def calls_of_a_return(size: tuple[int, int]) -> tuple[int, int]:
-    """Return how many calls the store gets in the second after a return, and at rest before."""
+    """Return the number of calls in the second after a restore, and in an idle second before."""
     fleet = Fleet(*size, 1)
     fleet.store.epoch = StoreEpoch(1)
     fleet.start()
@@ -161,5 +161,5 @@
 def test_a_return_costs_few_calls_however_many_daemons_there_are(monkeypatch: pytest.MonkeyPatch) -> None:
     fleets.patch_clock(monkeypatch)
     made, rest = run_virtually(lambda: calls_of_a_return(LARGE))
-    # Two readers lose three calls each, and read three tables whole.
+    # Two readers lose three calls each, and take snapshots of three tables.
     assert made - rest <= 2 * (3 + 3 + 3)
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -1,4 +1,4 @@
-"""Conditional writes and leases on a store that came back from an older copy."""
+"""Conditional writes and leases on a store that was restored from an older backup."""
 
 import msgspec
 import pytest
@@ -26,7 +26,7 @@
 
 
 class Rows:
-    """Rows of a store; what was written since a copy is lost when it is restored."""
+    """Rows of a store; a restore loses what was written since the backup."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[int, bytes]] = {}
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""The roster: what a start costs, daemons that start together, and rows of daemons that are gone."""
+"""The roster: the cost of a start, daemons that start together, and rows of daemons that are gone."""
 
 import msgspec
 import pytest
@@ -15,7 +15,7 @@
 
 
 class Rows:
-    """A table that counts calls, and lets another daemon write before a transaction."""
+    """A table that counts calls and can let another daemon write just before a transaction."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings tree: inheritance, checks with their field and line, patches."""
+"""The settings tree: inheritance, validation errors that name field and line, and patches."""
 
 import msgspec
 import pytest
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections that fall silent for good, without a reset: each kind is found by a bound of ours."""
+"""Open connections that go silent for good without a reset: each kind is detected by a timeout."""
 
 import random
 import socket
@@ -27,7 +27,7 @@
 
 
 class FallsSilent:
-    """A store whose connections answer one call each and take further ones without a word."""
+    """A store whose connections answer one call each and accept further ones without answering."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -53,7 +53,7 @@
 
 
 def calls_at_once(client: store.Store, count: int) -> list[int]:
-    """Make calls at the same moment; return the versions of those that were answered."""
+    """Make calls concurrently; return the versions of those that were answered."""
     versions: list[int] = []
 
     def call() -> None:
@@ -72,7 +72,7 @@
     monkeypatch.setattr(store, "READ_TIMEOUT", 0.3)
     server = FallsSilent()
     client = store.Store(server.address)
-    # Several connections rest at once, as the feeds of a daemon have them.
+    # Several connections are idle at once, as with the feeds of a daemon.
     assert calls_at_once(client, AT_REST) == [7] * AT_REST
     with pytest.raises(PlatformUnavailable):
         client.snapshot("t")
@@ -81,7 +81,7 @@
 
 
 class Settings:
-    """No settings in force."""
+    """Settings without any revision in force."""
 
     current = EMPTY
 
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -1,4 +1,4 @@
-"""Epochs of the store: what answers name, and what the log says of changes that are not taken in."""
+"""Epochs of the store: the epoch in answers, and the log lines about rejected updates."""
 
 from collections.abc import Iterator
 
@@ -73,7 +73,7 @@
 
 
 def known_feed(epoch: int, version: int) -> Feed:
-    """Return a feed that knows its table up to a position."""
+    """Return a feed whose local copy is at a position."""
     feed = Feed(None, "t", 1.0, lambda changes, whole: None)  # type: ignore[arg-type]
     feed.receive(Changes(ROW, version, StoreEpoch(epoch)), None, known_at=1.0)
     return feed
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("epoch", [2, UNKNOWN_EPOCH])
 @pytest.mark.parametrize("after", [None, 8])
 def test_what_is_known_already_makes_a_table_fresher(epoch: int, after: int | None) -> None:
-    # A reader that read the table earlier tells of it at a lower version for as long as nothing changes.
+    # A reader that took its snapshot earlier relays the table at a lower version until something changes.
     feed = known_feed(epoch, 10)
     told = Changes({}, 9, StoreEpoch(epoch))
     feed.receive(told, None if after is None else Position(StoreEpoch(epoch), after), known_at=50.0)
@@ -152,7 +152,7 @@
 
 
 class Answers:
-    """A store that gives the answers it was given, one after the other."""
+    """A store that returns the given answers one after the other."""
 
     def __init__(self, *answers: Changes | HistoryGone) -> None:
         self.answers = list(answers)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,8 +1,8 @@
-"""A store that fails and comes back from a copy some seconds old must not keep daemons from its changes.
+"""A store restored from a backup some seconds old must not keep its changes from the daemons.
 
-Readers found the history gone and read the tables anew, at versions below those that the other
-daemons knew. These dropped all that they were told until the versions had passed the old ones, and
-were taken for fresh all the while; rows that changed in between stayed wrong for good.
+After a restore, readers took snapshots at versions below those that the other daemons knew. The
+others rejected these updates until the versions had passed the old ones, although they counted as
+fresh meanwhile. Rows that changed in between stayed wrong permanently.
 """
 
 import time
@@ -19,10 +19,10 @@
 
 DRAIN_SECONDS = 2.0
 CONFIG_SECONDS = 2.0
-"""Bounds within which a leave and a change of the settings must be known, as the daemons' settings say."""
+"""Configured bounds within which a leaving server and a change of the settings must be known."""
 
 SETTLE_SECONDS = 1.5
-"""Time for daemons to know what was written before the store fails."""
+"""Seconds for daemons to learn what was written before the store fails."""
 
 LOST_WRITES = 6
 
@@ -42,18 +42,18 @@
 
 
 def state_of(daemon: Daemon, server: Replica) -> str:
-    """Return how a daemon says that a server stands."""
+    """Return the state of a server as a daemon reports it."""
     states = {s["backend"]: s["state"] for s in daemon.beliefs()["servers"]}
     return str(states.get(server.id, "gone"))
 
 
 def write_and_lose(site: UsersSite, daemons: Sequence[Daemon], away: float = 0.05) -> None:
-    """Have all daemons know of some changes that the restored store has lost."""
+    """Make some changes that all daemons know and that the restored store has lost."""
     copied = site.store.version
     for _ in range(LOST_WRITES):
         site.configure()
     wait_for("all know the settings", lambda: all(d.beliefs()["settings"] == site.version for d in daemons))
-    # Other tables are known up to these versions once their calls have been answered.
+    # Other tables reach these versions once their calls have been answered.
     time.sleep(SETTLE_SECONDS)
     site.restore_store(copied, away)
 
@@ -113,7 +113,7 @@
     copied = site.store.version
     site.store.drop("servers", gone.id)
     wait_for("all know it", lambda: {state_of(daemon, gone) for daemon in daemons} == {"gone"})
-    # Requests that were under way are over.
+    # Requests in progress have ended.
     time.sleep(0.2)
     before = len(gone.arrived)
     site.restore_store(copied)
@@ -152,7 +152,7 @@
         try:
             statuses.add(ask(late.callers, "/safe/x", X_Key=KEY).status)
         except OSError:
-            # It does not listen yet.
+            # It is not listening yet.
             time.sleep(0.01)
     assert statuses <= {401, 503}
     assert 401 in statuses
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A host that was suspended: what was known before is as old as it is, whatever the usual clock says."""
+"""A suspended host: time spent suspended counts, although the monotonic clock stops meanwhile."""
 
 import random
 import re
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Suspend:
-    """Have the host be suspended: the clock that counts it leaps, the usual one does not."""
+    """Simulate a suspension of the host: CLOCK_BOOTTIME jumps, the monotonic clock does not."""
     suspended = 0.0
     read = time.clock_gettime
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time: green threads on a clock that leaps to whatever is due next."""
+"""Virtual time: green threads on a clock that jumps to the next due timer."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -12,14 +12,14 @@
 T = TypeVar("T")
 
 TIE_SECONDS = 1e-9
-"""By this much each timer is due after those made before it: eventlet orders ties by chance."""
+"""Each timer is due this much later than those created before it, because eventlet orders ties randomly."""
 
 START = 100.0
-"""Time at which each run begins, in seconds."""
+"""Time at the start of each run, in seconds."""
 
 
 class VirtualHub(BaseHub):
-    """Eventlet's loop without sockets: where it would sleep, its clock moves on instead."""
+    """An eventlet hub without sockets: where it would sleep, its clock advances instead."""
 
     def __init__(self) -> None:
         self.at = START
@@ -27,7 +27,7 @@
         super().__init__(clock=lambda: self.at)
 
     def add_timer(self, timer: Timer) -> float:
-        """Take in a timer; those due at one time fire in the order in which they were made."""
+        """Add a timer; timers due at the same time fire in the order of their creation."""
         self.timers_made += 1
         due: float = self.at + timer.seconds + self.timers_made * TIE_SECONDS
         self.next_timers.append((due, timer))
@@ -35,11 +35,11 @@
 
     @staticmethod
     def is_available() -> bool:
-        """Tell that it runs everywhere."""
+        """Return true; it runs everywhere."""
         return True
 
     def wait(self, seconds: float | None = None) -> None:
-        """Let the time pass."""
+        """Advance the clock."""
         self.at += seconds or 0.0
 
 
@@ -49,11 +49,11 @@
 
 
 def run_virtually(function: Callable[[], T]) -> T:
-    """Call a function in a thread of its own whose green threads live in virtual time.
+    """Call a function in a new thread whose green threads run in virtual time.
 
-    :param function: what to run; it may sleep for hours.
-    :return: what it returns.
+    :param function: the function; it may sleep for hours.
+    :return: its result.
     """
-    # Eventlet keeps one loop for each thread, so a new one leaves the caller's alone.
+    # Eventlet keeps one hub per thread, so a new thread leaves the caller's hub alone.
     with ThreadPoolExecutor(1, initializer=use_hub, initargs=(VirtualHub,)) as thread:
         return thread.submit(function).result()
