--- a/tests/test_catchup.py
+++ b/tests/test_catchup.py
@@ -33,7 +33,7 @@
     return made
 
 
-def test_nothing_is_served_before(intake: Intake) -> None:
+def test_no_call_is_served_before_settings_are_confirmed(intake: Intake) -> None:
     intake.dialect = SimpleNamespace(read_call=lambda message: None)  # type: ignore[assignment]
     message: Any = None
     with pytest.raises(CutOff) as refused:
@@ -41,7 +41,7 @@
     assert refused.value.retry_after is not None
 
 
-def test_a_call_is_held_for_the_moment_in_which_others_confirm(intake: Intake) -> None:
+def test_a_call_is_held_while_others_confirm_the_settings(intake: Intake) -> None:
     held = eventlet.spawn(intake._await_confirmation)
     eventlet.sleep(0)
     CatchUp(intake).check(set())
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("others", [None, {A, B}])
-def test_others_that_cannot_be_asked_are_not_waited_for_for_ever(
+def test_waiting_for_unreachable_daemons_times_out(
     intake: Intake, clock: ManualClock, others: set[MemberId] | None
 ) -> None:
     catch_up = CatchUp(intake)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(("name", "fault"), FAULTS, ids=[row[0] for row in FAULTS])
-def test_a_stream_with_a_fault_is_given_up(name, fault):
+def test_a_stream_with_an_invalid_frame_is_closed(name, fault):
     acceptor = Acceptor()
     stream = streams.dial(acceptor.address, MemberId("d1"), SECRET)
     frames = stream.authenticator.seal(beat(1)), stream.authenticator.seal(beat(2))
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize(
     "content", [b"", b"\x00" * 40, b"GET / HTTP/1.1\r\n\r\n"], ids=["end", "zeros", "http"]
 )
-def test_a_stranger_that_dials_is_refused(content):
+def test_a_connection_without_a_valid_handshake_is_refused(content):
     acceptor = Acceptor()
     with socket.create_connection((acceptor.address.host, acceptor.address.port)) as sock:
         sock.sendall(content)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("neighbour_count", [1, 7, 16])
-def test_heartbeats_keep_to_their_budget_of_bytes(neighbour_count):
+def test_heartbeats_stay_within_their_byte_budget(neighbour_count):
     usage = Usage()
     for n in range(300):
         usage.ask(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
@@ -129,7 +129,7 @@
     assert len(sealer.seal(beat(1234, rows))) * neighbour_count <= HEARTBEAT_BYTES_PER_SECOND * 1.2
 
 
-def test_all_groups_are_told_in_turn():
+def test_all_groups_are_reported_in_turn():
     usage = Usage()
     for n in range(10):
         usage.ask(GroupPath(f"g{n}"), 1000.0)
@@ -137,7 +137,7 @@
     assert set(told) == {f"g{n}" for n in range(10)}
 
 
-def test_a_daemon_that_is_dropped_leaves_nothing_behind():
+def test_the_usage_of_a_dropped_daemon_is_removed():
     usage = Usage()
     usage.hear(MemberId("d2"), [wire.GroupUsage(GroupPath("a/b"), 100.0, 100.0)])
     usage.drop(MemberId("d2"))
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -113,7 +113,7 @@
     follower.fanout.receive_updates(MemberId("d0"), answer)
 
 
-def test_a_follower_learns_the_table_and_its_changes_without_a_call(
+def test_a_follower_gets_the_table_and_its_changes_without_a_store_call(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     table, reader, follower = hall
@@ -131,7 +131,7 @@
     assert table.calls == 2
 
 
-def test_the_age_of_an_update_is_counted_from_the_question(
+def test_the_age_of_an_update_is_counted_from_the_poll(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -149,9 +149,7 @@
     assert follower.feed._seconds_to_call() <= 0
 
 
-def test_an_answer_to_an_earlier_question_is_passed_over(
-    hall: tuple[Table, Daemon, Daemon], clock: Clock
-) -> None:
+def test_an_answer_to_an_earlier_poll_is_ignored(hall: tuple[Table, Daemon, Daemon], clock: Clock) -> None:
     _, reader, follower = hall
     follower.fanout.poll_sources()
     reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
@@ -162,7 +160,7 @@
     assert follower.taken == {}
 
 
-def test_a_reader_without_the_store_says_so_and_answers_once_it_is_back(
+def test_a_reader_without_the_store_reports_it_and_answers_after_recovery(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     table, reader, follower = hall
@@ -184,7 +182,7 @@
     assert follower.taken == {"a": b"1"}
 
 
-def test_a_reader_that_loses_the_store_tells_those_who_wait(
+def test_a_reader_that_loses_the_store_notifies_pending_polls(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -198,7 +196,9 @@
     assert MemberId("d5") in reader.fanout.pending_polls
 
 
-def test_what_is_heard_is_passed_on_with_its_age(hall: tuple[Table, Daemon, Daemon], clock: Clock) -> None:
+def test_a_relayed_update_is_relayed_again_with_its_age(
+    hall: tuple[Table, Daemon, Daemon], clock: Clock
+) -> None:
     table, reader, middle = hall
     last = Daemon(table)
     last.fanout.set_sources((MemberId("d5"),))
@@ -217,7 +217,7 @@
     assert table.calls == 1
 
 
-def test_freshness_alone_is_not_told_twice_in_a_row(
+def test_a_slightly_fresher_table_is_not_relayed_again(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -235,7 +235,7 @@
     assert isinstance(reader.sent(), Updates)
 
 
-def test_a_follower_rests_while_it_is_told_and_no_longer(
+def test_a_follower_makes_no_calls_while_relayed_updates_are_fresh(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -246,7 +246,7 @@
     assert follower.feed._seconds_to_call() <= 0
 
 
-def test_a_daemon_that_the_store_turns_away_goes_on_by_what_others_tell(
+def test_a_daemon_that_the_store_refuses_continues_with_relayed_updates(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -265,7 +265,7 @@
     assert follower.feed.recovered_at == 0.0
 
 
-def test_an_update_after_an_outage_says_when_the_store_was_back(
+def test_an_update_after_an_outage_reports_when_the_store_recovered(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -283,7 +283,7 @@
     assert follower.feed.recovered_at == pytest.approx(back_at)
 
 
-def test_an_answer_of_the_store_older_than_an_update_changes_nothing(
+def test_a_store_answer_older_than_an_update_changes_nothing(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     table, reader, follower = hall
@@ -302,7 +302,7 @@
     assert follower.feed.position == at(table.version)
 
 
-def test_a_follower_that_knows_too_little_gets_the_whole_table(hall: tuple[Table, Daemon, Daemon]) -> None:
+def test_a_follower_that_is_too_far_behind_gets_a_snapshot(hall: tuple[Table, Daemon, Daemon]) -> None:
     table, reader, _ = hall
     table.put("a", None)
     reader.feed.position = None
@@ -312,7 +312,7 @@
     assert changes.rows == {}
 
 
-def test_removed_rows_are_forgotten_at_last(hall: tuple[Table, Daemon, Daemon]) -> None:
+def test_the_number_of_remembered_removed_rows_is_limited(hall: tuple[Table, Daemon, Daemon]) -> None:
     table, reader, _ = hall
     for n in range(feeds.MAX_REMOVED_ROWS + 10):
         table.put(f"k{n}", b"1")
@@ -323,7 +323,7 @@
     assert not reader.feed.changes_since(at(table.version - 1))[1]
 
 
-def test_feeds_of_one_store_look_together_when_one_finds_it_lost(
+def test_all_feeds_of_a_store_recheck_it_when_one_loses_it(
     hall: tuple[Table, Daemon, Daemon],
 ) -> None:
     _, reader, follower = hall
@@ -337,7 +337,7 @@
     assert follower.feed.failing_since is not None
 
 
-def test_rows_are_packed_and_unpacked() -> None:
+def test_rows_are_encoded_and_decoded() -> None:
     rows = {"a": msgspec.Raw(b'{"x":1}'), "b": None}
     unpacked = decode_rows(encode_rows(rows))
     assert {k: v if v is None else bytes(v) for k, v in unpacked.items()} == {"a": b'{"x":1}', "b": None}
@@ -345,12 +345,12 @@
 
 
 @pytest.mark.parametrize("data", [b"x", encode_rows({"a": None})[:-2]], ids=["no zlib", "cut"])
-def test_updates_that_make_no_sense_are_an_error(data: bytes) -> None:
+def test_malformed_updates_raise_an_error(data: bytes) -> None:
     with pytest.raises(PeerError):
         decode_rows(data)
 
 
-def test_a_follower_asks_a_lost_store_seldom_until_a_reader_has_an_answer() -> None:
+def test_a_follower_calls_a_lost_store_rarely_until_it_becomes_a_reader() -> None:
     table = Table()
     follower = Daemon(table)
     follower.fanout.set_sources((MemberId("d0"),))
@@ -364,7 +364,7 @@
     assert follower.feed.max_retry_delay == feeds.MAX_RETRY_DELAY
 
 
-def test_a_daemon_at_its_start_waits_a_moment_for_others_to_tell_it(clock: Clock) -> None:
+def test_after_its_first_snapshot_a_daemon_waits_briefly_for_relays(clock: Clock) -> None:
     table = Table()
     daemon = Daemon(table)
     daemon.fanout.set_sources((MemberId("d0"),))
@@ -375,7 +375,7 @@
     assert daemon.feed._seconds_to_call() <= 0
 
 
-def test_an_update_that_takes_its_sender_out_of_the_roster_is_taken(
+def test_an_update_that_removes_its_sender_from_the_roster_is_applied(
     hall: tuple[Table, Daemon, Daemon],
 ) -> None:
     # This update ended the receiving task with a KeyError in ``receive_updates``, on three daemons at once:
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -63,24 +63,24 @@
     return start
 
 
-def test_a_quiet_wait_confirms_what_is_known_up_to_its_end(follow) -> None:  # type: ignore[no-untyped-def]
+def test_a_wait_without_changes_confirms_the_copy_up_to_its_end(follow) -> None:  # type: ignore[no-untyped-def]
     feed, _ = follow((None, {}))
     assert feed.age() == pytest.approx(ROUND_TRIP)
 
 
-def test_an_answer_that_comes_early_confirms_only_from_when_it_was_asked(follow) -> None:  # type: ignore[no-untyped-def]
+def test_an_early_answer_confirms_the_copy_as_of_when_the_call_was_sent(follow) -> None:  # type: ignore[no-untyped-def]
     feed, _ = follow((0.5, {}))
     assert feed.age() == pytest.approx(0.5)
 
 
-def test_after_a_late_change_the_next_call_waits_for_less(follow) -> None:  # type: ignore[no-untyped-def]
+def test_after_a_late_change_the_next_wait_is_shorter(follow) -> None:  # type: ignore[no-untyped-def]
     # Without the shorter wait, settings grew too old for keys after each such change on khangai scale-1.
     feed, script = follow((1.9, ROW), (None, {}))
     assert script.waits[1] == pytest.approx(MAX_AGE_IN_WAITS * WAIT - 1.9)
     assert feed.age() == pytest.approx(ROUND_TRIP)
 
 
-def test_knowledge_does_not_age_beyond_its_bound_while_the_store_answers(follow) -> None:  # type: ignore[no-untyped-def]
+def test_the_age_stays_within_its_bound_while_the_store_answers(follow) -> None:  # type: ignore[no-untyped-def]
     answers = [(seconds, ROW) for seconds in (1.9, 0.6, 0.05, 1.8, 0.7, 1.99, 0.5)]
     for count in range(1, len(answers) + 1):
         feed, script = follow(*answers[:count])
@@ -88,13 +88,13 @@
         assert feed.age() <= MAX_AGE_IN_WAITS * WAIT
 
 
-def test_failures_do_not_make_knowledge_younger(follow) -> None:  # type: ignore[no-untyped-def]
+def test_failed_calls_do_not_reset_the_age(follow) -> None:  # type: ignore[no-untyped-def]
     feed, _ = follow((1.0, PlatformUnavailable("busy")), (1.0, PlatformUnavailable("busy")))
     assert feed.age() == pytest.approx(2.0)
     assert feed.failing_since is not None
 
 
-def test_a_forgotten_history_is_read_whole(follow) -> None:  # type: ignore[no-untyped-def]
+def test_a_snapshot_is_read_when_the_history_is_gone(follow) -> None:  # type: ignore[no-untyped-def]
     feed, script = follow((0.1, HistoryGone("gone")), (0.1, {}))
     assert script.whole == 2
     assert feed.position is not None
@@ -119,7 +119,7 @@
         return Changes({}, after.version)
 
 
-def test_one_feed_looks_for_a_lost_store_and_tells_the_others() -> None:
+def test_one_feed_probes_a_lost_store_and_wakes_the_others() -> None:
     store = LostStore()
     joined = [Feed(store, name, WAIT, lambda changes, whole: None) for name in ("first", "b", "c")]
     link_feeds(joined)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -27,18 +27,18 @@
 
 @given(st.floats(MIN_BOUND_SECONDS, 60.0))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_a_silent_reader_is_done_without_within_the_bound(bound: float) -> None:
+def test_a_silent_reader_is_replaced_by_own_calls_within_the_bound(bound: float) -> None:
     assert relay_validity(poll_wait(bound)) + CALL_SECONDS <= bound
 
 
 @given(st.floats(MIN_BOUND_SECONDS, 60.0))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_changes_that_gather_are_known_within_the_bound(bound: float) -> None:
+def test_batched_changes_are_known_within_the_bound(bound: float) -> None:
     assert batch_delay(bound) + CALL_SECONDS <= bound / 2
 
 
 @pytest.mark.parametrize("bound", [0.0, 0.3])
-def test_a_bound_that_cannot_be_held_is_taken_for_the_least(bound: float) -> None:
+def test_a_bound_that_is_too_short_is_raised_to_the_minimum(bound: float) -> None:
     assert poll_wait(bound) == poll_wait(MIN_BOUND_SECONDS) > 0
     assert answer_timeout(bound) == answer_timeout(MIN_BOUND_SECONDS) > 0
 
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize("places", [(0,), (1,), (0, 1), (2, 3), (0, 5), (0, 1, 2, 3)])
-def test_every_daemon_knows_of_a_leaving_server_though_readers_fall_silent(
+def test_every_daemon_knows_of_a_leaving_server_although_readers_go_silent(
     places: tuple[int, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleets.patch_clock(monkeypatch)
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_table_that_its_readers_lack_is_read_by_those_who_need_it(
+def test_a_table_that_its_readers_cannot_read_is_read_by_the_others(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The readers' other tables stay fresh all the while.
@@ -286,12 +286,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_table_that_a_reader_lacks_holds_up_no_other(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_table_that_a_reader_cannot_read_delays_no_other_table(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleets.patch_clock(monkeypatch)
     assert run_virtually(partial(calls_of_others, seed)) == 0
 
 
-def test_calls_at_rest_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_store_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     fleets.patch_clock(monkeypatch)
 
     def calls() -> Counter[tuple[MemberId, str]]:
--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -19,31 +19,31 @@
 TABLE = "bayglade-members"
 
 
-def test_a_daemon_whose_row_is_lost_stays() -> None:
+def test_a_daemon_whose_row_is_lost_stays_a_member() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
     assert merge_restored(before, Roster({A: ROW}, b"s"), {}).members == {A: ROW, B: ROW}
 
 
-def test_a_daemon_whose_row_is_lost_and_that_is_silent_goes() -> None:
+def test_a_silent_daemon_whose_row_is_lost_is_dropped() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
     assert merge_restored(before, Roster({A: ROW}, b"s"), {B}).members == {A: ROW}
 
 
-def test_a_daemon_that_was_taken_out_since_the_copy_stays_out() -> None:
+def test_a_daemon_marked_gone_since_the_backup_stays_out() -> None:
     before = Roster({A: ROW}, b"s", marked_gone=frozenset({B}))
     after = merge_restored(before, Roster({A: ROW, B: ROW}, b"s"), {})
     assert after.members == {A: ROW}
     assert after.marked_gone == {B}
 
 
-def test_a_daemon_that_the_copy_says_is_gone_stays_so() -> None:
+def test_a_daemon_marked_gone_in_the_backup_stays_out() -> None:
     before = Roster({A: ROW, B: ROW}, b"s")
     assert merge_restored(before, Roster({A: ROW}, b"s", marked_gone=frozenset({B})), {}).members == {
         A: ROW
     }
 
 
-def test_rows_are_written_again_at_a_bounded_rate() -> None:
+def test_lost_rows_are_rewritten_at_a_bounded_rate() -> None:
     rng = random.Random(1)
     delays = sorted(rewrite_delay(440, rng) for _ in range(440))
     most = max(sum(at <= delay < at + 1.0 for delay in delays) for at in delays)
@@ -51,13 +51,13 @@
     assert rewrite_delay(0, rng) == 0.0
 
 
-def test_the_secret_that_streams_have_is_written_again_and_no_new_one() -> None:
+def test_the_secret_in_use_is_rewritten_and_no_new_one_created() -> None:
     table = Rows()
     assert join(table, TABLE, A, ROW, b"in use").secret == b"in use"
     assert table.rows[SECRET_KEY].value == msgspec.Raw(b'"in use"')
 
 
-def test_the_secret_that_streams_have_replaces_one_that_was_made_since() -> None:
+def test_the_secret_in_use_replaces_a_newer_one() -> None:
     table = Rows()
     join(table, TABLE, A, ROW)
     assert join(table, TABLE, B, ROW, b"in use").secret == b"in use"
@@ -77,7 +77,7 @@
     return daemons
 
 
-def test_all_rows_that_a_restored_store_has_lost_are_written_again(site: UsersSite) -> None:
+def test_all_rows_lost_in_a_restore_are_rewritten(site: UsersSite) -> None:
     copied = site.store.version
     daemons = start(site, 4)
     secret = site.store.rows[TABLE, SECRET_KEY][1]
@@ -92,7 +92,7 @@
     )
 
 
-def test_a_secret_that_was_made_on_a_restored_store_gives_way(site: UsersSite) -> None:
+def test_a_secret_created_after_a_restore_is_replaced(site: UsersSite) -> None:
     copied = site.store.version
     daemons = start(site, 3)
     secret = site.store.rows[TABLE, SECRET_KEY][1]
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -50,9 +50,7 @@
     st.sets(st.integers(0, 59), max_size=50),
 )
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_questions_never_run_in_a_circle(
-    daemons: int, halls: int, lost: set[int], unable: set[int]
-) -> None:
+def test_polls_never_form_a_cycle(daemons: int, halls: int, lost: set[int], unable: set[int]) -> None:
     order = Ranking(fleet(daemons, halls))
     place = {name: n for n, name in enumerate(order.ranked)}
     gone = {MemberId(f"front-{n}") for n in lost}
@@ -63,7 +61,7 @@
         assert not gone & set(plan.sources)
 
 
-def test_streams_are_mutual_while_all_see_the_same() -> None:
+def test_streams_are_mutual_while_all_have_the_same_view() -> None:
     order = Ranking(fleet(60, 4))
     plans = {name: plan_readers(name, order, (), ()) for name in order.ranked}
     wanted = {name: needed_streams(name, order, plans[name]) for name in order.ranked}
@@ -72,20 +70,20 @@
     assert most <= 60 / 4 + READER_COUNT * 4
 
 
-def test_daemons_that_the_store_turns_away_are_passed_over() -> None:
+def test_daemons_without_the_store_are_passed_over_as_readers() -> None:
     order = Ranking(fleet(30, 3))
     first = order.ranked[0]
     plan = plan_readers(order.ranked[20], order, (), {first})
     assert all(first not in names for names in plan.hall_readers.values())
 
 
-def test_when_many_are_without_the_store_it_is_lost_and_nobody_takes_turns() -> None:
+def test_readers_stay_when_too_many_daemons_are_without_the_store() -> None:
     order = Ranking(fleet(30, 1))
     unable = order.ranked[: READER_COUNT + MAX_PASSED_OVER]
     assert plan_readers(order.ranked[-1], order, (), unable).sources == tuple(order.ranked[:READER_COUNT])
 
 
-def test_a_daemon_that_fell_silent_is_asked_again_once_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_daemon_becomes_eligible_again_once_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(readers, "now", lambda: at)
     lost, member = LostDaemons(), MemberId("a")
@@ -150,7 +148,7 @@
     assert oldest < KEY_TRUST_SECONDS
 
 
-def test_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_store_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         assert calls_within(fleet, 10.0) <= 10.0 * CALLS_A_SECOND
         duties = Counter(daemon.plan.role for daemon in fleet.live())
@@ -160,7 +158,7 @@
 
 
 @pytest.mark.parametrize("places", [(0, 1), (0, 2), (1, 5), (3, 100), (0, 1, 2, 3)])
-def test_knowledge_stays_fresh_when_any_readers_are_lost(
+def test_tables_stay_fresh_when_any_readers_are_lost(
     places: tuple[int, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def scenario(fleet: Fleet) -> None:
@@ -178,7 +176,7 @@
     in_fleet(monkeypatch, scenario)
 
 
-def test_a_hall_that_loses_both_readers_has_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_hall_that_loses_both_readers_gets_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         hall = fleet.ranking.by_hall[HallName("h2")]
         fleet.mute = set(hall[:READER_COUNT])
@@ -188,7 +186,7 @@
     in_fleet(monkeypatch, scenario)
 
 
-def test_daemons_that_the_store_turns_away_hear_from_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_daemons_that_the_store_refuses_get_updates_from_others(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         refuse(fleet, fleet.ranking.ranked[:1] + fleet.ranking.ranked[10:80])
         assert_fresh(fleet, 10.0)
@@ -198,7 +196,7 @@
     in_fleet(monkeypatch, scenario)
 
 
-def test_when_both_readers_of_the_site_are_turned_away_others_take_over(
+def test_others_take_over_when_the_store_refuses_both_site_readers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(fleet: Fleet) -> None:
@@ -210,7 +208,7 @@
     in_fleet(monkeypatch, scenario)
 
 
-def test_a_lost_store_is_not_called_by_everybody_all_the_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_to_a_lost_store_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         refuse(fleet, fleet.ranking.ranked)
         before = fleet.store.calls.copy()
@@ -228,7 +226,7 @@
     in_fleet(monkeypatch, scenario)
 
 
-def test_a_rolling_restart_leaves_nobody_without_word(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rolling_restart_keeps_all_daemons_up_to_date(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         for name in fleet.ranking.ranked[:30]:
             fleet.mute = {name}
@@ -240,7 +238,7 @@
     in_fleet(monkeypatch, scenario)
 
 
-def test_daemons_with_quick_links_read_for_the_others() -> None:
+def test_daemons_with_fast_links_become_readers() -> None:
     halls = fleet(40, 2)
     quick = {name for n, name in enumerate(halls) if n % 5 == 0}
     order = Ranking(halls, {name: 100.0 if name in quick else 10.0 for name in halls})
--- a/tests/test_restored_fleets.py
+++ b/tests/test_restored_fleets.py
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("size", SIZES)
 @hypothesis.settings(max_examples=60, suppress_health_check=list(hypothesis.HealthCheck))
 @hypothesis.given(events=strategies.lists(EVENTS, max_size=8), seed=strategies.integers(0, 1000))
-def test_all_end_with_the_same_rows_and_take_nothing_old_for_new(
+def test_all_daemons_converge_and_consider_no_old_rows_current(
     size: tuple[int, int],
     virtually: Callable[[Callable[[], list[str]]], list[str]],
     events: list[Event],
@@ -136,7 +136,7 @@
     assert virtually(lambda: play_all(size, seed, events)) == []
 
 
-def test_two_hundred_daemons_know_again_what_holds_after_returns_in_series(
+def test_two_hundred_daemons_converge_after_repeated_restores(
     virtually: Callable[[Callable[[], list[str]]], list[str]],
 ) -> None:
     events = [("restored", 0.5, 4), ("restored", 0.4, 2), ("written", 0.4, 3), ("restored", 0.05, 9)]
@@ -158,7 +158,7 @@
     return fleet.store.calls.total() - before, rest
 
 
-def test_a_return_costs_few_calls_however_many_daemons_there_are(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_calls_caused_by_a_restore_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     fleets.patch_clock(monkeypatch)
     made, rest = run_virtually(lambda: calls_of_a_return(LARGE))
     # Two readers lose three calls each, and take snapshots of three tables.
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -110,7 +110,7 @@
     assert daemon.table.read([KEY])[KEY].value == encode_value("another")
 
 
-def test_the_answer_to_a_write_under_way_while_the_store_is_restored_is_lost(rows: Rows) -> None:
+def test_a_restore_during_a_write_counts_as_a_lost_answer(rows: Rows) -> None:
     daemon = Daemon(rows, "d1")
     rows.put(KEY, "first")
     rows.keep_copy()
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("copied", ["no row", "another holder", "released"])
-def test_nobody_takes_a_lease_that_a_restored_store_has_lost(
+def test_no_daemon_acquires_a_lease_that_was_lost_in_a_restore(
     rows: Rows, clock: ManualClock, copied: str
 ) -> None:
     holder, other, late = Daemon(rows, "d1"), Daemon(rows, "d2"), Daemon(rows, "d3")
@@ -165,7 +165,7 @@
     assert late.lease.epoch > holder.lease.epoch
 
 
-def test_the_holder_of_a_lease_writes_it_again_and_keeps_it(rows: Rows, clock: ManualClock) -> None:
+def test_the_holder_of_a_lost_lease_rewrites_and_keeps_it(rows: Rows, clock: ManualClock) -> None:
     holder, other = Daemon(rows, "d1"), Daemon(rows, "d2")
     rows.keep_copy()
     assert holder.keep()
@@ -180,7 +180,7 @@
         assert not other.keep()
 
 
-def test_a_daemon_that_starts_on_a_restored_store_waits_for_an_earlier_holder(
+def test_a_daemon_started_after_a_restore_waits_for_an_earlier_holder(
     rows: Rows, clock: ManualClock
 ) -> None:
     first, holder = Daemon(rows, "d1"), Daemon(rows, "d2")
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -71,7 +71,7 @@
     assert table.calls == 2
 
 
-def test_a_start_costs_a_read_of_the_roster_and_no_write_where_the_row_is_there() -> None:
+def test_a_start_with_an_existing_row_costs_one_read_and_no_write() -> None:
     table = Rows()
     first = join(table, TABLE, ME, ROW)
     before = table.calls
@@ -94,14 +94,14 @@
     assert members(table).members == {ME: ROW}
 
 
-def test_joining_goes_on_once_the_table_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_joining_retries_until_the_table_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(roster.eventlet, "sleep", lambda seconds: None)
     table = Rows()
     table.failures = 3
     assert join(table, TABLE, ME, ROW).members == {ME: ROW}
 
 
-def test_joining_goes_on_when_the_store_is_restored_meanwhile(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_joining_retries_when_the_store_is_restored_meanwhile(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(roster.eventlet, "sleep", lambda seconds: None)
     table = Rows()
     snapshot, failures = table.snapshot, [HistoryGone("restored between two pages")]
@@ -115,7 +115,7 @@
     assert join(table, TABLE, ME, ROW).members == {ME: ROW}
 
 
-def test_a_daemon_that_is_marked_gone_leaves_the_roster_and_can_come_back() -> None:
+def test_a_daemon_marked_gone_leaves_the_roster_and_can_rejoin() -> None:
     table = Rows()
     join(table, TABLE, ME, ROW)
     mark_gone(table, ME)
@@ -127,7 +127,7 @@
     assert join(table, TABLE, ME, ROW).members == {ME: ROW}
 
 
-def test_a_daemon_that_started_anew_meanwhile_is_not_marked() -> None:
+def test_a_daemon_that_restarted_meanwhile_is_not_marked_gone() -> None:
     table = Rows()
     join(table, TABLE, ME, ROW)
     table.others = [{"members/a": {"address": "10.0.0.2:7000", "hall": "h"}}]
@@ -135,7 +135,7 @@
     assert members(table).members[ME].address == "10.0.0.2:7000"
 
 
-def test_changes_of_the_roster_are_taken_in_and_rows_without_sense_passed_over() -> None:
+def test_roster_changes_are_applied_and_malformed_rows_ignored() -> None:
     before = Roster({ME: ROW, MemberId("b"): ROW}, b"s")
     rows: dict[str, msgspec.Raw | None] = {
         "members/b": None,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize(("name", "changes", "where"), BAD_TREES, ids=[row[0] for row in BAD_TREES])
-def test_a_bad_tree_is_refused_with_the_field(name, changes, where):
+def test_an_invalid_tree_is_refused_with_the_field(name, changes, where):
     with pytest.raises(InvalidSettings) as caught:
         tree_with(**changes)
     assert where in caught.value.message
 
 
-def test_a_bad_file_is_refused_with_its_line():
+def test_an_invalid_file_is_refused_with_the_line():
     text = documents.write(usual_tree({}, {}, 8), 0).replace("layers: 8", "layers: 0")
     line = next(n for n, row in enumerate(text.split("\n"), 1) if "layers: 0" in row)
     with pytest.raises(InvalidSettings) as caught:
@@ -98,7 +98,7 @@
     ["- a list", "a: 1\na: 2", "a: [", "&a [*a]", "a: &x [1]\n" + "b: [" + "*x," * 200 + "]", "\x00"],
     ids=["list", "doubled key", "open bracket", "cycle", "aliases", "binary"],
 )
-def test_a_file_that_is_no_settings_is_refused(text):
+def test_a_file_without_valid_settings_is_refused(text):
     with pytest.raises(InvalidSettings):
         documents.read(text)
 
@@ -120,6 +120,6 @@
 
 
 @given(OBJECT, OBJECT)
-def test_a_patch_leads_from_one_document_to_the_other(old, new):
+def test_a_patch_turns_one_document_into_the_other(old, new):
     assert patches.apply(old, patches.diff(old, new)) == new
     assert patches.diff(old, old) == {}
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -68,7 +68,7 @@
     return versions
 
 
-def test_one_silent_connection_to_the_store_ends_all_that_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_one_silent_connection_to_the_store_closes_all_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store, "READ_TIMEOUT", 0.3)
     server = FallsSilent()
     client = store.Store(server.address)
@@ -127,7 +127,7 @@
     ],
     ids=["never heard", "heard lately", "not heard", "a new stream"],
 )
-def test_a_stream_on_which_the_other_side_hears_nothing_is_given_up(
+def test_a_stream_on_which_the_peer_receives_nothing_is_closed(
     monkeypatch: pytest.MonkeyPatch, heard_age: float, stream_age: float, broken: bool
 ) -> None:
     me, other = hearing(monkeypatch, stream_age)
@@ -139,14 +139,14 @@
             other.stream.send(beat(0.0))
 
 
-def test_a_heartbeat_says_how_long_ago_its_receiver_was_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_heartbeat_reports_how_long_ago_its_receiver_was_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     me, other = hearing(monkeypatch, 60.0)
     me.last_heard[other.id] = 97.5
     assert me._heartbeat(other.id).heard_age == pytest.approx(2.5)
     assert me._heartbeat(MemberId("c")).heard_age == 0.0
 
 
-def test_the_kernel_gives_a_stream_up_that_is_not_acknowledged() -> None:
+def test_the_kernel_closes_a_stream_without_acknowledgements() -> None:
     secret = b"a secret"
     listening = socket.create_server(("127.0.0.1", 0))
 
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -28,7 +28,7 @@
     made.server.end()
 
 
-def test_every_answer_of_the_store_tells_its_epoch(stored: MetadataStore) -> None:
+def test_the_epoch_is_read_from_every_answer_of_the_store(stored: MetadataStore) -> None:
     told: list[StoreEpoch] = []
     client = Store(parse_address(stored.server.address), on_epoch=told.append)
     client.snapshot("op")
@@ -45,16 +45,14 @@
 
 
 @pytest.mark.parametrize("value", [None, "", "-1", "two", "1.5", "1" * 19, "1" * 5000])
-def test_an_epoch_that_makes_no_sense_is_none(stored: MetadataStore, value: str | None) -> None:
+def test_a_malformed_epoch_counts_as_unknown(stored: MetadataStore, value: str | None) -> None:
     told: list[StoreEpoch] = []
     stored.epoch = value  # type: ignore[assignment]
     Store(parse_address(stored.server.address), on_epoch=told.append).snapshot("op")
     assert told == [UNKNOWN_EPOCH]
 
 
-def test_an_update_that_is_not_taken_in_leaves_a_line(
-    stored: MetadataStore, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_rejected_update_is_logged(stored: MetadataStore, monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[tuple[object, ...]] = []
     monkeypatch.setattr(
         feeds, "limited", lambda rate: lambda *words, **fields: lines.append((*words, fields))
@@ -88,7 +86,7 @@
     ],
     ids=["earlier epoch", "gap", "change of an earlier epoch"],
 )
-def test_what_is_not_taken_in_makes_nothing_fresher(changes: Changes, after: Position | None) -> None:
+def test_a_rejected_update_makes_a_table_no_fresher(changes: Changes, after: Position | None) -> None:
     feed = known_feed(2, 10)
     feed.receive(changes, after, known_at=50.0, recovered_at=40.0)
     assert (feed.position, feed.known_at, feed.relayed_known_at) == (Position(StoreEpoch(2), 10), 1.0, 1.0)
@@ -98,7 +96,7 @@
 
 @pytest.mark.parametrize("epoch", [2, UNKNOWN_EPOCH])
 @pytest.mark.parametrize("after", [None, 8])
-def test_what_is_known_already_makes_a_table_fresher(epoch: int, after: int | None) -> None:
+def test_an_update_that_is_already_known_makes_a_table_fresher(epoch: int, after: int | None) -> None:
     # A reader that took its snapshot earlier relays the table at a lower version until something changes.
     feed = known_feed(epoch, 10)
     told = Changes({}, 9, StoreEpoch(epoch))
@@ -111,13 +109,13 @@
     assert feed.dropped == 0
 
 
-def test_less_than_is_known_from_a_store_that_was_away_makes_nothing_fresher() -> None:
+def test_an_earlier_position_after_an_outage_makes_a_table_no_fresher() -> None:
     feed = known_feed(UNKNOWN_EPOCH, 10)
     feed.receive(Changes(ROW, 9), None, known_at=50.0, recovered_at=feed.confirmed_at + 1.0)
     assert (feed.known_at, feed.dropped) == (1.0, 1)
 
 
-def test_a_position_that_the_store_has_after_an_outage_is_in_its_history() -> None:
+def test_a_position_confirmed_after_an_outage_is_in_the_history() -> None:
     feed = Feed(Answers(Changes(ROW, 10), Changes({}, 10)), "t", 1.0, lambda changes, whole: None)
     feed._poll()
     back_at = feed.confirmed_at + 0.001
@@ -127,13 +125,13 @@
     assert feed.dropped == 0
 
 
-def test_an_update_of_a_later_epoch_is_taken_in_at_a_lower_version() -> None:
+def test_an_update_of_a_later_epoch_is_applied_at_a_lower_version() -> None:
     feed = known_feed(2, 10)
     feed.receive(Changes(ROW, 4, StoreEpoch(3)), None, known_at=50.0)
     assert (feed.position, feed.known_at) == (Position(StoreEpoch(3), 4), 50.0)
 
 
-def test_a_question_from_a_later_epoch_has_a_reader_read_anew() -> None:
+def test_a_poll_from_a_later_epoch_makes_a_reader_take_a_snapshot() -> None:
     feed = known_feed(2, 10)
     fanout = Fanout({"t": feed}, feed, lambda member, message: None, "x:1")
     fanout.receive_poll(MemberId("d5"), Poll(1, {"t": Position(StoreEpoch(3), 1)}, "x:2"))
@@ -141,7 +139,7 @@
     assert MemberId("d5") in fanout.pending_polls
 
 
-def test_an_answer_of_an_earlier_epoch_is_no_answer(stored: MetadataStore) -> None:
+def test_an_answer_of_an_earlier_epoch_counts_as_failed(stored: MetadataStore) -> None:
     history = StoreHistory()
     client = Store(parse_address(stored.server.address), on_epoch=history.note)
     feed = Feed(client, "op", 1.0, lambda changes, whole: None, history=history)
@@ -168,7 +166,7 @@
 
 
 @pytest.mark.parametrize("gone", [False, True], ids=["changes", "whole"])
-def test_an_answer_below_what_was_known_in_one_epoch_is_no_answer(gone: bool) -> None:
+def test_an_answer_at_an_earlier_position_of_the_epoch_counts_as_failed(gone: bool) -> None:
     late = Changes(ROW, 9, StoreEpoch(2))
     store = Answers(Changes(ROW, 10, StoreEpoch(2)), *[HistoryGone("gone")] * gone, late)
     feed = Feed(store, "t", 1.0, lambda changes, whole: None)
@@ -183,7 +181,7 @@
     assert feed.known_at == known_at
 
 
-def test_an_answer_below_what_was_known_has_a_table_without_epochs_read_anew() -> None:
+def test_without_epochs_an_answer_at_an_earlier_position_causes_a_snapshot() -> None:
     store = Answers(Changes(ROW, 10), Changes(ROW, 9), Changes(ROW, 8))
     feed = Feed(store, "t", 1.0, lambda changes, whole: None)
     feed._poll()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -62,9 +62,7 @@
 
 
 @AWAY
-def test_a_server_that_leaves_after_the_store_was_restored_gets_nothing_more(
-    site: UsersSite, away: float
-) -> None:
+def test_a_server_that_leaves_after_a_restore_gets_no_more_requests(site: UsersSite, away: float) -> None:
     daemons = start(site)
     write_and_lose(site, daemons, away)
     time.sleep(0.3)
@@ -107,7 +105,7 @@
     assert {state_of(daemon, removed) for daemon in daemons} == {"gone"}
 
 
-def test_a_server_that_was_gone_before_the_store_was_restored_gets_nothing(site: UsersSite) -> None:
+def test_a_server_removed_before_a_restore_gets_no_requests(site: UsersSite) -> None:
     daemons = start(site)
     gone = site.of(PLAIN)[0]
     copied = site.store.version
@@ -124,7 +122,7 @@
     assert gone.arrived[before:] == []
 
 
-def test_a_daemon_whose_row_a_restored_store_has_lost_writes_it_again(site: UsersSite) -> None:
+def test_a_daemon_whose_row_was_lost_in_a_restore_rewrites_it(site: UsersSite) -> None:
     start(site)
     copied = site.store.version
     joined = site.start("hall-1")
@@ -136,7 +134,7 @@
     wait_for("its row is there again", lambda: row in site.store.rows)
 
 
-def test_a_daemon_that_starts_on_a_restored_store_does_not_serve_by_older_settings(
+def test_a_daemon_started_after_a_restore_does_not_serve_with_older_settings(
     site: UsersSite,
 ) -> None:
     daemons = start(site)
@@ -158,7 +156,7 @@
     assert 401 in statuses
 
 
-def test_a_daemon_that_starts_alone_on_a_restored_store_serves_by_it(site: UsersSite) -> None:
+def test_a_daemon_started_alone_after_a_restore_serves_with_the_stored_settings(site: UsersSite) -> None:
     before = site.start("hall-0")
     before.stop()
     site.restore_store(site.store.version)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -45,14 +45,14 @@
     return leap
 
 
-def test_the_usual_clock_stands_still_and_ours_goes_on(suspend: Suspend) -> None:
+def test_the_monotonic_clock_stops_in_a_suspension_and_ours_does_not(suspend: Suspend) -> None:
     usual, ours = time.monotonic(), now()
     suspend(30.0)
     assert time.monotonic() - usual < 10.0
     assert now() - ours >= 30.0
 
 
-def test_knowledge_of_keys_is_too_old_after_it(suspend: Suspend) -> None:
+def test_keys_are_too_old_after_a_suspension(suspend: Suspend) -> None:
     feed = Feed(SimpleNamespace(snapshot=lambda table: Changes({}, 1)), "op", 1.0, lambda *_: None)  # type: ignore[arg-type]
     feed.known_at = now()
     intake = Intake(SimpleNamespace(), feed.age, KEY_TRUST, random.Random(1))  # type: ignore[arg-type]
@@ -64,7 +64,7 @@
         intake.check(keyed)
 
 
-def test_a_lease_is_lost_in_it(suspend: Suspend) -> None:
+def test_a_lease_is_lost_in_a_suspension(suspend: Suspend) -> None:
     lease = Lease(Rows(), "place", MemberId("me"), duration=6.0)
     assert lease.keep()
     assert lease.state() is LeaseState.HELD
@@ -72,14 +72,14 @@
     assert lease.state() is not LeaseState.HELD
 
 
-def test_retries_of_before_it_no_longer_count(suspend: Suspend) -> None:
+def test_retries_before_a_suspension_no_longer_count(suspend: Suspend) -> None:
     budget = RetryBudget(fraction=0.0, floor=2.0, window=10.0)
     assert [budget.retry() for _ in range(3)] == [True, True, False]
     suspend(10.0)
     assert budget.retry()
 
 
-def test_it_is_told_once(suspend: Suspend) -> None:
+def test_a_suspension_is_reported_once(suspend: Suspend) -> None:
     suspensions = Suspensions()
     assert suspensions.lately() == 0.0
     suspend(7.5)
@@ -87,7 +87,7 @@
     assert suspensions.lately() == 0.0
 
 
-def test_timers_that_fell_due_in_it_fire_after_it(suspend: Suspend) -> None:
+def test_timers_due_in_a_suspension_fire_after_it(suspend: Suspend) -> None:
     def fires() -> bool:
         keep_timers()
         fired = eventlet.event.Event()
@@ -100,7 +100,7 @@
     assert run_virtually(fires)
 
 
-def test_no_module_reads_the_usual_clock() -> None:
+def test_no_module_reads_the_monotonic_clock() -> None:
     package = Path(clock.__file__).parent
     sources = {path.relative_to(package): path.read_text() for path in package.rglob("*.py")}
     reads = re.compile(r"time\.(monotonic|perf_counter)\(")
