--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -39,10 +39,10 @@
 ROSTER_BOUND = 50.0
 ROUND_TRIP = 0.004
 STREAM_SECONDS = 0.001
-WATCH_SECONDS = 0.5
+CHECK_INTERVAL = 0.5
 """Interval of a daemon's check for silent daemons, as in production."""
 
-Refuses = Callable[[MemberId, str], float | None]
+CallFault = Callable[[MemberId, str], float | None]
 """Decides a daemon's call for a table: None for an answer, else the seconds after which it fails. A time
 longer than an answer may take stands for silence."""
 
@@ -52,36 +52,36 @@
 class Store:
     """A store whose calls fail as configured, and that can be restored from an older backup.
 
-    :param patience: seconds for which callers wait for an answer beyond the wait they request.
+    :param answer_limit: seconds for which callers wait for an answer beyond the wait they request.
     """
 
-    def __init__(self, patience: float) -> None:
-        self.patience = patience
+    def __init__(self, answer_limit: float) -> None:
+        self.answer_limit = answer_limit
         self.versions = dict.fromkeys(TABLES, 1)
-        self.refuses: Refuses = lambda member, table: None
-        self.forgets_before = 0
-        self.mute_before = 0.0
+        self.call_fault: CallFault = lambda member, table: None
+        self.history_starts_at = 0
+        self.silent_before = 0.0
         """Calls sent before this time are never answered, although later ones are."""
 
-        self.mute_tables = frozenset(TABLES)
+        self.silent_tables = frozenset(TABLES)
         self.answer_seconds = ROUND_TRIP
         self.calls: Counter[tuple[MemberId, str]] = Counter()
         self.epoch = UNKNOWN_EPOCH
         """The epoch named in all answers."""
 
         self.restores = 0
-        self.written_in: dict[tuple[str, int], int] = {}
+        self.restores_at_write: dict[tuple[str, int], int] = {}
         """The number of restores before each version of a table was written."""
 
     def write(self, table: str) -> None:
         """Write the row of a table again."""
         self.versions[table] += 1
-        self.written_in[table, self.versions[table]] = self.restores
+        self.restores_at_write[table, self.versions[table]] = self.restores
 
     def value(self, table: str) -> msgspec.Raw:
         """Return the row of a table; it differs for each write even where a version is assigned again."""
         version = self.versions[table]
-        return encode_value([self.written_in.get((table, version), 0), version])
+        return encode_value([self.restores_at_write.get((table, version), 0), version])
 
     def restore(self, lost: int) -> None:
         """Return to the state before some writes; calls in progress are never answered."""
@@ -102,7 +102,7 @@
         return self._call(table, 0, 0.0)
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
-        if not self.store.forgets_before <= after.version <= self.store.versions[table]:
+        if not self.store.history_starts_at <= after.version <= self.store.versions[table]:
             eventlet.sleep(self.store.answer_seconds)
             raise HistoryGone("gone", step="read", peer="store")
         return self._call(table, after.version, wait)
@@ -110,7 +110,7 @@
     def _call(self, table: str, after: int, wait: float) -> Changes:
         self.store.calls[self.member, table] += 1
         sent, until = now(), now() + wait
-        patience, restores = wait + self.store.patience, self.store.restores
+        limit, restores = wait + self.store.answer_limit, self.store.restores
         while (fails := self._fails(table, sent)) is None and self.store.versions[table] <= after:
             if now() >= until:
                 break
@@ -118,16 +118,16 @@
             if self.store.restores != restores:
                 raise PlatformUnavailable("the connection broke", step="read", peer="store")
         if fails is not None:
-            eventlet.sleep(max(0.0, min(fails, sent + patience - now())))
+            eventlet.sleep(max(0.0, min(fails, sent + limit - now())))
             raise PlatformUnavailable("no answer", step="read", peer="store")
         version, value, epoch = self.store.versions[table], self.store.value(table), self.store.epoch
         eventlet.sleep(self.store.answer_seconds)
         return Changes({"row": value} if version > after else {}, version, epoch)
 
     def _fails(self, table: str, sent: float) -> float | None:
-        if sent < self.store.mute_before <= now() and table in self.store.mute_tables:
+        if sent < self.store.silent_before <= now() and table in self.store.silent_tables:
             return SILENCE
-        return self.store.refuses(self.member, table)
+        return self.store.call_fault(self.member, table)
 
 
 class Daemon:
@@ -139,7 +139,7 @@
         client = Client(fleet.store, name)
         bounds = dict(zip(TABLES, (fleet.bound, fleet.bound, ROSTER_BOUND), strict=True))
         history = StoreHistory()
-        self.taken: dict[str, msgspec.Raw | None] = {}
+        self.applied: dict[str, msgspec.Raw | None] = {}
         """The row of each table as last applied."""
 
         self.feeds = {
@@ -147,24 +147,24 @@
                 client,
                 table,
                 poll_wait(bound),
-                partial(self.take, table),
+                partial(self.apply, table),
                 batch_delay(bound),
                 history,
             )
             for table, bound in bounds.items()
         }
-        self.fanout = Fanout(self.feeds, self.feeds["document"], self.push, "x:1")
+        self.fanout = Fanout(self.feeds, self.feeds["document"], self.send, "x:1")
         self.fanout.set_sources((name,))
         link_feeds(self.feeds.values())
-        self.lost = LostDaemons()
+        self.lost_daemons = LostDaemons()
         self.plan = ReaderPlan(readers.Role.SITE_READER)
         self.heard: dict[MemberId, float] = {}
         self.streams: dict[MemberId, float] = {}
-        self.watching: eventlet.greenthread.GreenThread | None = None
+        self.checking: eventlet.greenthread.GreenThread | None = None
 
-    def take(self, table: str, changes: Changes, whole: bool) -> None:
+    def apply(self, table: str, changes: Changes, whole: bool) -> None:
         for value in changes.rows.values():
-            self.taken[table] = value
+            self.applied[table] = value
 
     def known(self, table: str) -> int | None:
         """Return the version of the local copy of a table."""
@@ -175,19 +175,19 @@
         for feed in self.feeds.values():
             feed.rng = random.Random(self.fleet.rng.random())
             feed.start()
-        self.watching = eventlet.spawn(self.watch)
+        self.checking = eventlet.spawn(self.run_checks)
 
     def stop(self) -> None:
-        for task in (self.watching, *(feed.task for feed in self.feeds.values())):
+        for task in (self.checking, *(feed.task for feed in self.feeds.values())):
             if task is not None:
                 task.kill()
 
-    def push(self, member: MemberId, message: object) -> None:
-        if self.name not in self.fleet.mute and member in self.streams:
-            eventlet.spawn_after(STREAM_SECONDS, self.fleet.daemons[member].hear, self.name, message)
+    def send(self, member: MemberId, message: object) -> None:
+        if self.name not in self.fleet.muted and member in self.streams:
+            eventlet.spawn_after(STREAM_SECONDS, self.fleet.daemons[member].receive, self.name, message)
 
-    def hear(self, sender: MemberId, message: object) -> None:
-        if self.name in self.fleet.mute:
+    def receive(self, sender: MemberId, message: object) -> None:
+        if self.name in self.fleet.muted:
             return
         self.heard[sender] = now()
         if isinstance(message, Poll):
@@ -198,23 +198,23 @@
         elif isinstance(message, StoreUnreachable):
             self.fanout.receive_store_unreachable(sender, message)
 
-    def watch(self) -> None:
-        eventlet.sleep(self.fleet.rng.random() * WATCH_SECONDS)
-        beats = 0
+    def run_checks(self) -> None:
+        eventlet.sleep(self.fleet.rng.random() * CHECK_INTERVAL)
+        rounds = 0
         while True:
-            beats += 1
-            self.look()
-            if beats % 2:
+            rounds += 1
+            self.check()
+            if rounds % 2:
                 for member in self.streams:
-                    self.push(member, "heartbeat")
-            eventlet.sleep(WATCH_SECONDS)
+                    self.send(member, "heartbeat")
+            eventlet.sleep(CHECK_INTERVAL)
 
-    def look(self) -> None:
+    def check(self) -> None:
         oldest = now() - LOST_AFTER_SECONDS
         silent = [m for m, since in self.streams.items() if max(since, self.heard.get(m, 0.0)) < oldest]
-        self.lost.update(silent, self.heard)
-        unable = self.fanout.without_store(self.name)
-        plan = plan_readers(self.name, self.fleet.ranking, self.lost.since, unable)
+        self.lost_daemons.update(silent, self.heard)
+        cut_off = self.fanout.without_store(self.name)
+        plan = plan_readers(self.name, self.fleet.ranking, self.lost_daemons.since, cut_off)
         if plan != self.plan:
             self.plan = plan
             self.fanout.set_sources(plan.sources)
@@ -237,7 +237,7 @@
         self.rng = random.Random(seed)
         self.bound = bound
         self.store = Store(answer_timeout(bound))
-        self.mute: set[MemberId] = set()
+        self.muted: set[MemberId] = set()
         """Daemons that send and receive nothing although they run."""
 
         names = {MemberId(f"front-{n}"): HallName(f"h{n % halls}") for n in range(daemons)}
@@ -250,7 +250,7 @@
 
     def live(self) -> list[Daemon]:
         """List the daemons that are not muted."""
-        return [daemon for name, daemon in self.daemons.items() if name not in self.mute]
+        return [daemon for name, daemon in self.daemons.items() if name not in self.muted]
 
     def restart(self, name: MemberId) -> None:
         """Restart a daemon with no state."""
@@ -258,7 +258,7 @@
         self.daemons[name] = Daemon(name, self)
         self.daemons[name].start()
 
-    def leave(self) -> float:
+    def announce_leave(self) -> float:
         """Announce that a server leaves; return when."""
         self.store.write("servers")
         return now()
@@ -266,7 +266,7 @@
     def unaware(self) -> list[MemberId]:
         """List the daemons that are not muted and don't know yet that the last server leaves."""
         value = self.store.value("servers")
-        return [d.name for d in self.live() if d.taken.get("servers") != value]
+        return [d.name for d in self.live() if d.applied.get("servers") != value]
 
 
 def patch_clock(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -17,7 +17,7 @@
 SECRET = b"a secret"
 
 
-def beat(revision=1, usage=()):
+def heartbeat(revision=1, usage=()):
     return wire.Heartbeat(
         revision=Revision(revision), draining=False, usage=list(usage), leaving=[], held=[]
     )
@@ -52,7 +52,7 @@
     acceptor = Acceptor()
     stream = streams.dial(acceptor.address, MemberId("d1"), SECRET)
     for revision in (1, 2, 3):
-        stream.send(beat(revision))
+        stream.send(heartbeat(revision))
     stream.close()
     acceptor.wait()
     assert acceptor.member == "d1"
@@ -66,7 +66,7 @@
     assert isinstance(acceptor.wait().error, PeerError)
 
 
-def changed(frame):
+def corrupted(frame):
     seal, payload = msgpack.unpackb(frame)
     return msgpack.packb([seal, payload[:-1] + bytes([payload[-1] ^ 1])])
 
@@ -75,7 +75,7 @@
     ("repeated", lambda first, second: first + first),
     ("left out", lambda first, second: second),
     ("swapped", lambda first, second: second + first),
-    ("changed", lambda first, second: changed(first)),
+    ("changed", lambda first, second: corrupted(first)),
     ("no msgpack", lambda first, second: b"\xc1\xc1"),
     ("wrong shape", lambda first, second: msgpack.packb({"a": 1})),
     ("too large", lambda first, second: b"\xc6\xff\xff\xff\xff" + b"x" * 1000),
@@ -86,7 +86,7 @@
 def test_a_stream_with_an_invalid_frame_is_closed(name, fault):
     acceptor = Acceptor()
     stream = streams.dial(acceptor.address, MemberId("d1"), SECRET)
-    frames = stream.authenticator.seal(beat(1)), stream.authenticator.seal(beat(2))
+    frames = stream.authenticator.seal(heartbeat(1)), stream.authenticator.seal(heartbeat(2))
     stream.sock.sendall(fault(*frames))
     # A frame whose announced length is too large is never complete, so reading it times out.
     assert isinstance(acceptor.wait().error, PeerError | TimeoutError)
@@ -124,17 +124,19 @@
     for n in range(300):
         usage.ask(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
         usage.charge(GroupPath(f"khangai/airport-{n:03}"), 5000.0)
-    sealer = wire.FrameAuthenticator(b"k" * 32)
+    authenticator = wire.FrameAuthenticator(b"k" * 32)
     rows = usage.tell(rows_per_heartbeat(neighbour_count))
-    assert len(sealer.seal(beat(1234, rows))) * neighbour_count <= HEARTBEAT_BYTES_PER_SECOND * 1.2
+    assert (
+        len(authenticator.seal(heartbeat(1234, rows))) * neighbour_count <= HEARTBEAT_BYTES_PER_SECOND * 1.2
+    )
 
 
 def test_all_groups_are_reported_in_turn():
     usage = Usage()
     for n in range(10):
         usage.ask(GroupPath(f"g{n}"), 1000.0)
-    told = [row.group for _ in range(4) for row in usage.tell(3)]
-    assert set(told) == {f"g{n}" for n in range(10)}
+    reported = [row.group for _ in range(4) for row in usage.tell(3)]
+    assert set(reported) == {f"g{n}" for n in range(10)}
 
 
 def test_the_usage_of_a_dropped_daemon_is_removed():
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -17,7 +17,7 @@
 from bayglade.rows import Changes, Position
 
 WAIT = 1.0
-REST = relay_validity(WAIT)
+RELAY_VALID_SECONDS = relay_validity(WAIT)
 
 
 def at(version: int) -> Position:
@@ -49,14 +49,14 @@
         self.rows[key] = (self.version, None if value is None else msgspec.Raw(value))
 
     def snapshot(self, table: str) -> Changes:
-        self._called()
+        self._count_call()
         return Changes({k: v for k, (_, v) in self.rows.items() if v is not None}, self.version)
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
-        self._called()
+        self._count_call()
         return Changes({k: v for k, (at, v) in self.rows.items() if at > after.version}, self.version)
 
-    def _called(self) -> None:
+    def _count_call(self) -> None:
         self.calls += 1
         if self.lost:
             raise PlatformUnavailable("no answer", step="read", peer="store")
@@ -66,7 +66,7 @@
     """One daemon: a feed of one table, the rows applied, and its fan-out."""
 
     def __init__(self, table: Table) -> None:
-        self.taken: dict[str, bytes | None] = {}
+        self.applied: dict[str, bytes | None] = {}
         self.outbox: list[tuple[MemberId, Poll | Updates | StoreUnreachable]] = []
         self.feed = Feed(table, "t", WAIT, self._apply)
         self.fanout = Fanout(
@@ -75,8 +75,8 @@
 
     def _apply(self, changes: Changes, whole: bool) -> None:
         if whole:
-            self.taken.clear()
-        self.taken |= {k: None if v is None else bytes(v) for k, v in changes.rows.items()}
+            self.applied.clear()
+        self.applied |= {k: None if v is None else bytes(v) for k, v in changes.rows.items()}
 
     def sent(self) -> Poll | Updates | StoreUnreachable:
         return self.outbox.pop(0)[1]
@@ -105,9 +105,9 @@
 def exchange(reader: Daemon, follower: Daemon) -> None:
     """Deliver one poll and its answer."""
     follower.fanout.poll_sources()
-    ask = follower.sent()
-    assert isinstance(ask, Poll)
-    reader.fanout.receive_poll(MemberId("d5"), ask)
+    poll = follower.sent()
+    assert isinstance(poll, Poll)
+    reader.fanout.receive_poll(MemberId("d5"), poll)
     answer = reader.sent()
     assert isinstance(answer, Updates)
     follower.fanout.receive_updates(MemberId("d0"), answer)
@@ -118,7 +118,7 @@
 ) -> None:
     table, reader, follower = hall
     exchange(reader, follower)
-    assert follower.taken == {"a": b"1"}
+    assert follower.applied == {"a": b"1"}
     table.put("a", b"2")
     table.put("b", b"3")
     clock.at += 1.0
@@ -127,7 +127,7 @@
     assert reader.outbox == []
     reader.feed._poll()
     follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.taken == {"a": b"2", "b": b"3"}
+    assert follower.applied == {"a": b"2", "b": b"3"}
     assert table.calls == 2
 
 
@@ -137,9 +137,9 @@
     _, reader, follower = hall
     clock.at += 0.5
     follower.fanout.poll_sources()
-    ask = follower.sent()
+    poll = follower.sent()
     clock.at += 3.0
-    reader.fanout.receive_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
+    reader.fanout.receive_poll(MemberId("d5"), poll)  # type: ignore[arg-type]
     answer = reader.sent()
     clock.at += 4.0
     follower.fanout.receive_updates(MemberId("d0"), answer)  # type: ignore[arg-type]
@@ -157,7 +157,7 @@
     clock.at += 2.0
     follower.fanout.poll_sources()
     follower.fanout.receive_updates(MemberId("d0"), late)  # type: ignore[arg-type]
-    assert follower.taken == {}
+    assert follower.applied == {}
 
 
 def test_a_reader_without_the_store_reports_it_and_answers_after_recovery(
@@ -167,8 +167,8 @@
     table.lost = True
     reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
     follower.fanout.poll_sources()
-    ask = follower.sent()
-    reader.fanout.receive_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
+    poll = follower.sent()
+    reader.fanout.receive_poll(MemberId("d5"), poll)  # type: ignore[arg-type]
     refusal = reader.sent()
     assert isinstance(refusal, StoreUnreachable)
     follower.fanout.receive_store_unreachable(MemberId("d0"), refusal)
@@ -179,7 +179,7 @@
     reader.feed._poll()
     follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     assert follower.fanout.peers_without_store == set()
-    assert follower.taken == {"a": b"1"}
+    assert follower.applied == {"a": b"1"}
 
 
 def test_a_reader_that_loses_the_store_notifies_pending_polls(
@@ -211,7 +211,7 @@
     middle.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     answer = next(message for member, message in middle.outbox if member == "d9")
     last.fanout.receive_updates(MemberId("d5"), answer)  # type: ignore[arg-type]
-    assert last.taken == {"a": b"1"}
+    assert last.applied == {"a": b"1"}
     # The reader read the table 0.4 s ago, and the poll of the last daemon was pending for as long.
     assert last.feed.age() == pytest.approx(0.4)
     assert table.calls == 1
@@ -241,8 +241,8 @@
     _, reader, follower = hall
     assert follower.feed._seconds_to_call() <= 0
     exchange(reader, follower)
-    assert follower.feed._seconds_to_call() == pytest.approx(REST)
-    clock.at += REST
+    assert follower.feed._seconds_to_call() == pytest.approx(RELAY_VALID_SECONDS)
+    clock.at += RELAY_VALID_SECONDS
     assert follower.feed._seconds_to_call() <= 0
 
 
@@ -258,7 +258,7 @@
     follower.fanout.poll_sources()
     reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.taken == {"a": b"2"}
+    assert follower.applied == {"a": b"2"}
     assert follower.feed.failing_since is None
     assert follower.feed._seconds_to_call() > 0
     # The reader never lost the store, so rows missing there were removed and did not expire in an outage.
@@ -279,7 +279,7 @@
     follower.fanout.poll_sources()
     reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.taken == {"a": None}
+    assert follower.applied == {"a": None}
     assert follower.feed.recovered_at == pytest.approx(back_at)
 
 
@@ -290,15 +290,15 @@
     exchange(reader, follower)
     stale = Changes({"a": msgspec.Raw(b"0")}, table.version)
 
-    def told_meanwhile(*_: object) -> Changes:
+    def update_meanwhile(*_: object) -> Changes:
         table.put("a", b"2")
         reader.feed._poll()
         follower.feed.receive(*reader.feed.changes_since(None)[:1], None, clock.at)
         return stale
 
-    follower.feed.store = type("Stale", (), {"changes": told_meanwhile})()
+    follower.feed.store = type("Stale", (), {"changes": update_meanwhile})()
     follower.feed._poll()
-    assert follower.taken == {"a": b"2"}
+    assert follower.applied == {"a": b"2"}
     assert follower.feed.position == at(table.version)
 
 
@@ -339,8 +339,8 @@
 
 def test_rows_are_encoded_and_decoded() -> None:
     rows = {"a": msgspec.Raw(b'{"x":1}'), "b": None}
-    unpacked = decode_rows(encode_rows(rows))
-    assert {k: v if v is None else bytes(v) for k, v in unpacked.items()} == {"a": b'{"x":1}', "b": None}
+    decoded = decode_rows(encode_rows(rows))
+    assert {k: v if v is None else bytes(v) for k, v in decoded.items()} == {"a": b'{"x":1}', "b": None}
     assert decode_rows(encode_rows({})) == {}
 
 
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -16,7 +16,7 @@
 ROW = {"key": msgspec.Raw(b"1")}
 
 
-class Script:
+class ScriptedStore:
     """A store that gives scripted answers, and the clock that they advance.
 
     An answer is the seconds it takes (None for the whole wait) and its content.
@@ -26,28 +26,28 @@
         self.at = 100.0
         self.answers = list(answers)
         self.waits: list[float] = []
-        self.whole = 0
+        self.snapshots = 0
 
     def now(self) -> float:
         return self.at
 
     def snapshot(self, table: str) -> Changes:
-        self.whole += 1
+        self.snapshots += 1
         return Changes({}, 1)
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
         self.waits.append(wait)
-        seconds, brought = self.answers.pop(0)
+        seconds, content = self.answers.pop(0)
         self.at += wait + ROUND_TRIP if seconds is None else seconds
-        if isinstance(brought, Exception):
-            raise brought
-        return Changes(brought, after.version + 1)  # type: ignore[arg-type]
+        if isinstance(content, Exception):
+            raise content
+        return Changes(content, after.version + 1)  # type: ignore[arg-type]
 
 
 @pytest.fixture
 def follow(monkeypatch: pytest.MonkeyPatch):  # type: ignore[no-untyped-def]
-    def start(*answers: tuple[float | None, object]) -> tuple[Feed, Script]:
-        script = Script(*answers)
+    def start(*answers: tuple[float | None, object]) -> tuple[Feed, ScriptedStore]:
+        script = ScriptedStore(*answers)
         monkeypatch.setattr(feeds, "now", script.now)
         feed = Feed(script, "t", WAIT, lambda changes, whole: None)
         feed._poll()
@@ -96,7 +96,7 @@
 
 def test_a_snapshot_is_read_when_the_history_is_gone(follow) -> None:  # type: ignore[no-untyped-def]
     feed, script = follow((0.1, HistoryGone("gone")), (0.1, {}))
-    assert script.whole == 2
+    assert script.snapshots == 2
     assert feed.position is not None
     assert feed.position.version == 1
 
@@ -121,9 +121,9 @@
 
 def test_one_feed_probes_a_lost_store_and_wakes_the_others() -> None:
     store = LostStore()
-    joined = [Feed(store, name, WAIT, lambda changes, whole: None) for name in ("first", "b", "c")]
-    link_feeds(joined)
-    for feed in joined:
+    linked = [Feed(store, name, WAIT, lambda changes, whole: None) for name in ("first", "b", "c")]
+    link_feeds(linked)
+    for feed in linked:
         feed.start()
     eventlet.sleep(SECONDARY_RETRY_DELAY * 0.6)
     assert store.calls["first"] >= 4
@@ -131,7 +131,7 @@
     assert max(store.calls["b"], store.calls["c"]) <= 3
     store.lost = False
     eventlet.sleep(MAX_RETRY_DELAY + 0.2)
-    assert [feed.failing_since for feed in joined] == [None] * 3
-    for feed in joined:
+    assert [feed.failing_since for feed in linked] == [None] * 3
+    for feed in linked:
         assert feed.task is not None
         feed.task.kill()
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -72,15 +72,15 @@
 def known_after(seconds_away: float, seed: int) -> float:
     """Return how many seconds after a server left a daemon knows it, if the store was away before."""
     store = Store(away_from=5.0, away_until=5.0 + seconds_away)
-    joined = [Feed(store, table, wait, lambda *_: None) for table, wait in WAITS.items()]
-    link_feeds(joined)
-    for number, feed in enumerate(joined):
+    linked = [Feed(store, table, wait, lambda *_: None) for table, wait in WAITS.items()]
+    link_feeds(linked)
+    for number, feed in enumerate(linked):
         feed.rng = random.Random(100 * seed + number)
         feed.start()
     eventlet.sleep(5.0 + seconds_away + LEAVES_AFTER_SECONDS)
     store.versions[SERVERS] += 1
     left = now()
-    while joined[1].position != Position(UNKNOWN_EPOCH, store.versions[SERVERS]):
+    while linked[1].position != Position(UNKNOWN_EPOCH, store.versions[SERVERS]):
         eventlet.sleep(0.01)
     return round(now() - left, 2)
 
@@ -95,7 +95,7 @@
     assert {case: after for case, after in found.items() if after > BOUND} == {}
 
 
-CONTACT_SECONDS = 3.0
+RECOVERY_SECONDS = 3.0
 """Seconds within which a daemon that was affected by a fault must be up to date again."""
 
 FAULT_AT = 6.0
@@ -112,28 +112,28 @@
 """Applies a fault to a fleet, and yields the seconds for which it lasts."""
 
 
-def store_away(fleet: Fleet, after: float, seconds: float, *tables: str) -> Iterator[float]:
-    fleet.store.refuses = lambda member, table: after if not tables or table in tables else None
+def store_unavailable(fleet: Fleet, after: float, seconds: float, *tables: str) -> Iterator[float]:
+    fleet.store.call_fault = lambda member, table: after if not tables or table in tables else None
     yield seconds
-    fleet.store.refuses = lambda member, table: None
+    fleet.store.call_fault = lambda member, table: None
 
 
-def store_turns_away(fleet: Fleet, after: float, seconds: float, places: slice) -> Iterator[float]:
-    turned = set(fleet.ranking.ranked[places])
-    fleet.store.refuses = lambda member, table: after if member in turned else None
+def store_refuses_some(fleet: Fleet, after: float, seconds: float, places: slice) -> Iterator[float]:
+    refused = set(fleet.ranking.ranked[places])
+    fleet.store.call_fault = lambda member, table: after if member in refused else None
     yield seconds
-    fleet.store.refuses = lambda member, table: None
+    fleet.store.call_fault = lambda member, table: None
 
 
-def connections_fall_silent(fleet: Fleet, *tables: str) -> Iterator[float]:
-    fleet.store.mute_before = now()
-    fleet.store.mute_tables = frozenset(tables or fleets.TABLES)
+def connections_go_silent(fleet: Fleet, *tables: str) -> Iterator[float]:
+    fleet.store.silent_before = now()
+    fleet.store.silent_tables = frozenset(tables or fleets.TABLES)
     yield 0.0
 
 
 def history_gone(fleet: Fleet) -> Iterator[float]:
     fleet.store.versions = dict.fromkeys(fleet.store.versions, 50)
-    fleet.store.forgets_before = 50
+    fleet.store.history_starts_at = 50
     yield 0.0
 
 
@@ -147,7 +147,7 @@
             fleet.store.write(table)
     yield 2.5
     for _ in range(times):
-        yield from store_away(fleet, 0.01, away)
+        yield from store_unavailable(fleet, 0.01, away)
         fleet.store.restore(lost)
 
 
@@ -158,27 +158,33 @@
 
 
 FAULTS: dict[str, Fault] = {
-    **{f"silent for {s} s": partial(store_away, after=SILENCE, seconds=s) for s in (0.5, 2.0, 4.3, 6.77)},
-    **{f"refuses for {s} s": partial(store_away, after=0.01, seconds=s) for s in (0.1, 0.6, 3.0, 7.0)},
+    **{
+        f"silent for {s} s": partial(store_unavailable, after=SILENCE, seconds=s)
+        for s in (0.5, 2.0, 4.3, 6.77)
+    },
+    **{
+        f"refuses for {s} s": partial(store_unavailable, after=0.01, seconds=s)
+        for s in (0.1, 0.6, 3.0, 7.0)
+    },
     **{
         f"servers silent for {s} s": partial(
-            lambda fleet, seconds: store_away(fleet, SILENCE, seconds, "servers"), seconds=s
+            lambda fleet, seconds: store_unavailable(fleet, SILENCE, seconds, "servers"), seconds=s
         )
         for s in (1.0, 2.5, 6.0, 12.0)
     },
     **{
         f"servers refused for {s} s": partial(
-            lambda fleet, seconds: store_away(fleet, 0.01, seconds, "servers"), seconds=s
+            lambda fleet, seconds: store_unavailable(fleet, 0.01, seconds, "servers"), seconds=s
         )
         for s in (0.02, 0.1, 0.5, 5.0, 12.0)
     },
-    "document refused": lambda fleet: store_away(fleet, 0.01, 5.0, "document"),
-    "members refused": lambda fleet: store_away(fleet, 0.01, 5.0, "members"),
-    "some refused": partial(store_turns_away, after=0.01, seconds=6.0, places=slice(0, 2)),
-    "some not answered": partial(store_turns_away, after=SILENCE, seconds=6.0, places=slice(1, 9)),
-    "all connections silent": connections_fall_silent,
-    "connections of servers silent": lambda fleet: connections_fall_silent(fleet, "servers"),
-    "connections of documents silent": lambda fleet: connections_fall_silent(fleet, "document"),
+    "document refused": lambda fleet: store_unavailable(fleet, 0.01, 5.0, "document"),
+    "members refused": lambda fleet: store_unavailable(fleet, 0.01, 5.0, "members"),
+    "some refused": partial(store_refuses_some, after=0.01, seconds=6.0, places=slice(0, 2)),
+    "some not answered": partial(store_refuses_some, after=SILENCE, seconds=6.0, places=slice(1, 9)),
+    "all connections silent": connections_go_silent,
+    "connections of servers silent": lambda fleet: connections_go_silent(fleet, "servers"),
+    "connections of documents silent": lambda fleet: connections_go_silent(fleet, "document"),
     "history gone": history_gone,
     "slow": store_slow,
     **{
@@ -200,10 +206,10 @@
         eventlet.sleep(seconds)
     over = now()
     eventlet.sleep(leaves_after)
-    left = fleet.leave()
+    left = fleet.announce_leave()
     while fleet.unaware() and now() < left + NEVER_SECONDS:
         eventlet.sleep(0.01)
-    return round(now() - max(left + BOUND, over + CONTACT_SECONDS), 2)
+    return round(now() - max(left + BOUND, over + RECOVERY_SECONDS), 2)
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -220,14 +226,14 @@
     assert {case: seconds for case, seconds in late.items() if seconds > 0} == {}
 
 
-def known_though_mute(places: tuple[int, ...], leaves_after: float, seed: int) -> float:
+def known_although_muted(places: tuple[int, ...], leaves_after: float, seed: int) -> float:
     """Return how many seconds after a server left all daemons know it, if some were muted just before."""
     fleet = Fleet(23, 5, seed)
     fleet.start()
     eventlet.sleep(FAULT_AT + fleet.rng.random())
-    fleet.mute = {fleet.ranking.ranked[place] for place in places}
+    fleet.muted = {fleet.ranking.ranked[place] for place in places}
     eventlet.sleep(leaves_after)
-    left = fleet.leave()
+    left = fleet.announce_leave()
     while fleet.unaware():
         eventlet.sleep(0.01)
     return round(now() - left, 2)
@@ -239,7 +245,7 @@
 ) -> None:
     fleets.patch_clock(monkeypatch)
     found = {
-        (after, seed): run_virtually(partial(known_though_mute, places, after, seed))
+        (after, seed): run_virtually(partial(known_although_muted, places, after, seed))
         for after in (0.01, 0.5, 1.0, 2.0)
         for seed in range(3)
     }
@@ -248,8 +254,8 @@
 
 def refuse_readers(fleet: Fleet, table: str) -> list[MemberId]:
     """Make the store refuse one table to the readers of the site; return the other daemons."""
-    turned = set(fleet.ranking.ranked[:READER_COUNT])
-    fleet.store.refuses = lambda member, asked: 0.01 if member in turned and asked == table else None
+    refused = set(fleet.ranking.ranked[:READER_COUNT])
+    fleet.store.call_fault = lambda member, asked: 0.01 if member in refused and asked == table else None
     return fleet.ranking.ranked[READER_COUNT:]
 
 
@@ -258,8 +264,8 @@
     fleet.start()
     eventlet.sleep(FAULT_AT)
     others = refuse_readers(fleet, "servers")
-    eventlet.sleep(CONTACT_SECONDS)
-    left = fleet.leave()
+    eventlet.sleep(RECOVERY_SECONDS)
+    left = fleet.announce_leave()
     while set(others) & set(fleet.unaware()):
         eventlet.sleep(0.01)
     return round(now() - left, 2)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -35,11 +35,11 @@
 
 @pytest.mark.parametrize(("daemons", "halls"), [(1, 1), (3, 3), (7, 3), (23, 5), (195, 5), (440, 11)])
 def test_few_follow_the_store_whatever_the_number_of_daemons(daemons: int, halls: int) -> None:
-    order = Ranking(fleet(daemons, halls))
-    plans = {name: plan_readers(name, order, (), ()) for name in order.ranked}
-    duties = [plan.role for plan in plans.values()]
-    assert duties.count(Role.SITE_READER) == min(READER_COUNT, daemons)
-    assert daemons - duties.count(Role.FOLLOWER) <= READER_COUNT * halls
+    ranking = Ranking(fleet(daemons, halls))
+    plans = {name: plan_readers(name, ranking, (), ()) for name in ranking.ranked}
+    roles = [plan.role for plan in plans.values()]
+    assert roles.count(Role.SITE_READER) == min(READER_COUNT, daemons)
+    assert daemons - roles.count(Role.FOLLOWER) <= READER_COUNT * halls
     assert all(len(plan.sources) <= READER_COUNT for plan in plans.values())
 
 
@@ -50,37 +50,41 @@
     st.sets(st.integers(0, 59), max_size=50),
 )
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_polls_never_form_a_cycle(daemons: int, halls: int, lost: set[int], unable: set[int]) -> None:
-    order = Ranking(fleet(daemons, halls))
-    place = {name: n for n, name in enumerate(order.ranked)}
+def test_polls_never_form_a_cycle(
+    daemons: int, halls: int, lost: set[int], without_store: set[int]
+) -> None:
+    ranking = Ranking(fleet(daemons, halls))
+    place = {name: n for n, name in enumerate(ranking.ranked)}
     gone = {MemberId(f"front-{n}") for n in lost}
-    refused = {MemberId(f"front-{n}") for n in unable}
-    for name in order.ranked:
-        plan = plan_readers(name, order, gone - {name}, refused - {name})
+    refused = {MemberId(f"front-{n}") for n in without_store}
+    for name in ranking.ranked:
+        plan = plan_readers(name, ranking, gone - {name}, refused - {name})
         assert all(place[asked] < place[name] for asked in plan.sources)
         assert not gone & set(plan.sources)
 
 
 def test_streams_are_mutual_while_all_have_the_same_view() -> None:
-    order = Ranking(fleet(60, 4))
-    plans = {name: plan_readers(name, order, (), ()) for name in order.ranked}
-    wanted = {name: needed_streams(name, order, plans[name]) for name in order.ranked}
+    ranking = Ranking(fleet(60, 4))
+    plans = {name: plan_readers(name, ranking, (), ()) for name in ranking.ranked}
+    wanted = {name: needed_streams(name, ranking, plans[name]) for name in ranking.ranked}
     assert all(name in wanted[other] for name in wanted for other in wanted[name])
     most = max(len(streams) for streams in wanted.values())
     assert most <= 60 / 4 + READER_COUNT * 4
 
 
 def test_daemons_without_the_store_are_passed_over_as_readers() -> None:
-    order = Ranking(fleet(30, 3))
-    first = order.ranked[0]
-    plan = plan_readers(order.ranked[20], order, (), {first})
+    ranking = Ranking(fleet(30, 3))
+    first = ranking.ranked[0]
+    plan = plan_readers(ranking.ranked[20], ranking, (), {first})
     assert all(first not in names for names in plan.hall_readers.values())
 
 
 def test_readers_stay_when_too_many_daemons_are_without_the_store() -> None:
-    order = Ranking(fleet(30, 1))
-    unable = order.ranked[: READER_COUNT + MAX_PASSED_OVER]
-    assert plan_readers(order.ranked[-1], order, (), unable).sources == tuple(order.ranked[:READER_COUNT])
+    ranking = Ranking(fleet(30, 1))
+    without_store = ranking.ranked[: READER_COUNT + MAX_PASSED_OVER]
+    assert plan_readers(ranking.ranked[-1], ranking, (), without_store).sources == tuple(
+        ranking.ranked[:READER_COUNT]
+    )
 
 
 def test_a_silent_daemon_becomes_eligible_again_once_heard(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,14 +104,14 @@
 SETTLED_SECONDS = 8.0
 """Seconds after the start in which daemons find each other."""
 
-QUICK_TABLES = 2
+URGENT_TABLES = 2
 """Tables that followers may miss for a few seconds at most."""
 
-CALLS_A_SECOND = 4.0 * QUICK_TABLES
+CALLS_PER_SECOND = 4.0 * URGENT_TABLES
 """Two readers of the site with one call per table every 1.6 s, and as much again in reserve."""
 
 
-def in_fleet(monkeypatch: pytest.MonkeyPatch, scenario: Callable[[Fleet], None]) -> None:
+def run_in_fleet(monkeypatch: pytest.MonkeyPatch, scenario: Callable[[Fleet], None]) -> None:
     """Run a scenario in virtual time, with many daemons that have settled."""
     fleets.patch_clock(monkeypatch)
 
@@ -122,8 +126,8 @@
 
 def refuse(fleet: Fleet, members: Collection[MemberId]) -> None:
     """Make the store refuse the calls of these daemons only."""
-    turned = set(members)
-    fleet.store.refuses = lambda member, table: ROUND_TRIP if member in turned else None
+    refused = set(members)
+    fleet.store.call_fault = lambda member, table: ROUND_TRIP if member in refused else None
 
 
 def calls_within(fleet: Fleet, seconds: float) -> int:
@@ -137,7 +141,7 @@
     """Run for a while; check that a change made at the start is known everywhere and no copy gets too
     old."""
     fleet.store.versions["document"] += 1
-    fleet.leave()
+    fleet.announce_leave()
     oldest = 0.0
     for _ in range(int(seconds / STEP)):
         eventlet.sleep(STEP)
@@ -150,11 +154,11 @@
 
 def test_store_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        assert calls_within(fleet, 10.0) <= 10.0 * CALLS_A_SECOND
-        duties = Counter(daemon.plan.role for daemon in fleet.live())
-        assert duties[Role.SITE_READER] == READER_COUNT
+        assert calls_within(fleet, 10.0) <= 10.0 * CALLS_PER_SECOND
+        roles = Counter(daemon.plan.role for daemon in fleet.live())
+        assert roles[Role.SITE_READER] == READER_COUNT
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("places", [(0, 1), (0, 2), (1, 5), (3, 100), (0, 1, 2, 3)])
@@ -163,27 +167,27 @@
 ) -> None:
     def scenario(fleet: Fleet) -> None:
         halls = fleet.daemons[fleet.ranking.ranked[-1]].plan.hall_readers
-        fleet.mute = {fleet.ranking.ranked[place] for place in places}
+        fleet.muted = {fleet.ranking.ranked[place] for place in places}
         # If both readers of the site or of a hall are lost at once, the daemons that poll them get no
         # updates until they notice.
-        without = sum(
-            len(fleet.ranking.by_hall[h]) for h, names in halls.items() if fleet.mute >= set(names)
+        uninformed = sum(
+            len(fleet.ranking.by_hall[h]) for h, names in halls.items() if fleet.muted >= set(names)
         )
         if {0, 1} <= set(places):
-            without = DAEMONS
-        assert calls_within(fleet, 8.0) <= 8.0 * CALLS_A_SECOND + QUICK_TABLES * without
+            uninformed = DAEMONS
+        assert calls_within(fleet, 8.0) <= 8.0 * CALLS_PER_SECOND + URGENT_TABLES * uninformed
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 def test_a_hall_that_loses_both_readers_gets_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         hall = fleet.ranking.by_hall[HallName("h2")]
-        fleet.mute = set(hall[:READER_COUNT])
+        fleet.muted = set(hall[:READER_COUNT])
         assert_fresh(fleet, 8.0)
         assert fleet.daemons[hall[-1]].plan.sources == tuple(hall[READER_COUNT : 2 * READER_COUNT])
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 def test_daemons_that_the_store_refuses_get_updates_from_others(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -193,7 +197,7 @@
         refuse(fleet, ())
         assert_fresh(fleet, 5.0)
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 def test_others_take_over_when_the_store_refuses_both_site_readers(
@@ -202,10 +206,10 @@
     def scenario(fleet: Fleet) -> None:
         refuse(fleet, fleet.ranking.ranked[:READER_COUNT])
         assert calls_within(fleet, 10.0) <= 10.0 * (
-            2 * CALLS_A_SECOND + READER_COUNT / feeds.MAX_RETRY_DELAY
+            2 * CALLS_PER_SECOND + READER_COUNT / feeds.MAX_RETRY_DELAY
         )
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 def test_calls_to_a_lost_store_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -223,24 +227,24 @@
         eventlet.sleep(2.0)
         assert_fresh(fleet, 5.0)
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 def test_a_rolling_restart_keeps_all_daemons_up_to_date(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
         for name in fleet.ranking.ranked[:30]:
-            fleet.mute = {name}
+            fleet.muted = {name}
             eventlet.sleep(1.0)
             fleet.restart(name)
-        fleet.mute = set()
+        fleet.muted = set()
         assert_fresh(fleet, 5.0)
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 def test_daemons_with_fast_links_become_readers() -> None:
     halls = fleet(40, 2)
-    quick = {name for n, name in enumerate(halls) if n % 5 == 0}
-    order = Ranking(halls, {name: 100.0 if name in quick else 10.0 for name in halls})
-    plan = plan_readers(order.ranked[-1], order, (), ())
-    assert {name for names in plan.hall_readers.values() for name in names} <= quick
+    fast = {name for n, name in enumerate(halls) if n % 5 == 0}
+    ranking = Ranking(halls, {name: 100.0 if name in fast else 10.0 for name in halls})
+    plan = plan_readers(ranking.ranked[-1], ranking, (), ())
+    assert {name for names in plan.hall_readers.values() for name in names} <= fast
--- a/tests/test_restored_fleets.py
+++ b/tests/test_restored_fleets.py
@@ -27,9 +27,9 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.points: list[tuple[float, dict[str, Position]]] = []
-        self.note()
+        self.record()
 
-    def note(self) -> None:
+    def record(self) -> None:
         store = self.fleet.store
         known = {table: Position(store.epoch, store.versions[table]) for table in TABLES}
         self.points.append((now(), known))
@@ -38,7 +38,7 @@
         """Return the position of a table at a time."""
         return next((known[table] for at, known in reversed(self.points) if at <= time), None)
 
-    def overrated(self) -> list[str]:
+    def too_fresh(self) -> list[str]:
         """List daemons that consider a table current as of a time when the store was already ahead."""
         found = []
         for daemon in self.fleet.live():
@@ -61,35 +61,35 @@
 )
 
 
-def play(fleet: Fleet, history: History, event: Event) -> Iterator[float]:
+def play_event(fleet: Fleet, history: History, event: Event) -> Iterator[float]:
     """Apply an event to a fleet; yields the seconds for which it lasts."""
     kind, seconds, amount = event
     store = fleet.store
     if kind == "restored":
-        store.refuses = lambda member, table: 0.01
+        store.call_fault = lambda member, table: 0.01
         yield seconds
         store.restore(amount)
-        store.refuses = lambda member, table: None
-        history.note()
+        store.call_fault = lambda member, table: None
+        history.record()
     elif kind == "written":
         for _ in range(amount):
             store.write(TABLES[amount % len(TABLES)])
-        history.note()
+        history.record()
         yield seconds
     elif kind == "readers silent":
-        fleet.mute = set(fleet.ranking.ranked[: amount % 3])
+        fleet.muted = set(fleet.ranking.ranked[: amount % 3])
         yield seconds
-        fleet.mute = set()
+        fleet.muted = set()
     elif kind == "some refused":
         refused = set(fleet.ranking.ranked[amount % 4 : amount])
-        store.refuses = lambda member, table: SILENCE if member in refused else None
+        store.call_fault = lambda member, table: SILENCE if member in refused else None
         yield seconds
-        store.refuses = lambda member, table: None
+        store.call_fault = lambda member, table: None
     else:
         yield seconds
 
 
-def play_all(size: tuple[int, int], seed: int, events: list[Event]) -> list[str]:
+def play_events(size: tuple[int, int], seed: int, events: list[Event]) -> list[str]:
     """Play events on a fleet; return the violations found."""
     fleet = Fleet(*size, seed)
     fleet.store.epoch = StoreEpoch(1)
@@ -101,20 +101,20 @@
     eventlet.sleep(3.0 + fleet.rng.random())
     wrong: list[str] = []
     for event in events:
-        for seconds in play(fleet, history, event):
+        for seconds in play_event(fleet, history, event):
             until = now() + seconds
             while now() < until:
                 eventlet.sleep(CHECK_SECONDS)
-                wrong += history.overrated()
+                wrong += history.too_fresh()
     fleet.store.write("servers")
     fleet.store.write("document")
-    history.note()
+    history.record()
     eventlet.sleep(SETTLE_SECONDS)
-    wrong += history.overrated()
+    wrong += history.too_fresh()
     for daemon in fleet.live():
         for table in ("servers", "document"):
-            if daemon.taken.get(table) != fleet.store.value(table):
-                wrong.append(f"{daemon.name} has {daemon.taken.get(table)!r} of {table}")
+            if daemon.applied.get(table) != fleet.store.value(table):
+                wrong.append(f"{daemon.name} has {daemon.applied.get(table)!r} of {table}")
     return wrong
 
 
@@ -133,17 +133,17 @@
     events: list[Event],
     seed: int,
 ) -> None:
-    assert virtually(lambda: play_all(size, seed, events)) == []
+    assert virtually(lambda: play_events(size, seed, events)) == []
 
 
 def test_two_hundred_daemons_converge_after_repeated_restores(
     virtually: Callable[[Callable[[], list[str]]], list[str]],
 ) -> None:
     events = [("restored", 0.5, 4), ("restored", 0.4, 2), ("written", 0.4, 3), ("restored", 0.05, 9)]
-    assert virtually(lambda: play_all(LARGE, 1, events)) == []
+    assert virtually(lambda: play_events(LARGE, 1, events)) == []
 
 
-def calls_of_a_return(size: tuple[int, int]) -> tuple[int, int]:
+def calls_of_a_restore(size: tuple[int, int]) -> tuple[int, int]:
     """Return the number of calls in the second after a restore, and in an idle second before."""
     fleet = Fleet(*size, 1)
     fleet.store.epoch = StoreEpoch(1)
@@ -160,6 +160,6 @@
 
 def test_the_calls_caused_by_a_restore_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     fleets.patch_clock(monkeypatch)
-    made, rest = run_virtually(lambda: calls_of_a_return(LARGE))
+    made, rest = run_virtually(lambda: calls_of_a_restore(LARGE))
     # Two readers lose three calls each, and take snapshots of three tables.
     assert made - rest <= 2 * (3 + 3 + 3)
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -32,18 +32,18 @@
         self.rows: dict[str, tuple[int, bytes]] = {}
         self.version = 0
         self.epoch = StoreEpoch(1)
-        self.copy: tuple[int, dict[str, tuple[int, bytes]]] = (0, {})
-        self.restores_in_a_write = False
+        self.backup: tuple[int, dict[str, tuple[int, bytes]]] = (0, {})
+        self.restores_during_write = False
 
     def put(self, key: str, value: object) -> None:
         self.version += 1
         self.rows[key] = (self.version, bytes(encode_value(value)))
 
-    def keep_copy(self) -> None:
-        self.copy = (self.version, dict(self.rows))
+    def back_up(self) -> None:
+        self.backup = (self.version, dict(self.rows))
 
     def restore(self) -> None:
-        self.version, self.rows = self.copy[0], dict(self.copy[1])
+        self.version, self.rows = self.backup[0], dict(self.backup[1])
         self.epoch = StoreEpoch(self.epoch + 1)
 
     def snapshot(self, table: str) -> Changes:
@@ -59,7 +59,7 @@
         }
 
     def transact(self, transaction: Transaction) -> TransactionResult:
-        if self.restores_in_a_write:
+        if self.restores_during_write:
             self.restore()
         against = [c.key for c in transaction.conditions if self.rows.get(c.key, (ABSENT,))[0] != c.version]
         if not against:
@@ -99,7 +99,7 @@
 
 def test_a_write_on_a_condition_of_an_earlier_epoch_is_withheld(rows: Rows) -> None:
     daemon = Daemon(rows, "d1")
-    rows.keep_copy()
+    rows.back_up()
     rows.put(KEY, "first")
     found = daemon.table.read([KEY])[KEY]
     rows.restore()
@@ -113,9 +113,9 @@
 def test_a_restore_during_a_write_counts_as_a_lost_answer(rows: Rows) -> None:
     daemon = Daemon(rows, "d1")
     rows.put(KEY, "first")
-    rows.keep_copy()
+    rows.back_up()
     found = daemon.table.read([KEY])[KEY]
-    rows.restores_in_a_write = True
+    rows.restores_during_write = True
     with pytest.raises(PlatformAnswerLost):
         daemon.table.transact(Transaction([found.condition(KEY)], [Write(KEY, encode_value("mine"))]))
 
@@ -123,7 +123,7 @@
 def test_a_condition_read_after_the_store_was_restored_holds(rows: Rows) -> None:
     daemon = Daemon(rows, "d1")
     rows.put(KEY, "first")
-    rows.keep_copy()
+    rows.back_up()
     rows.restore()
     daemon.history.note(rows.epoch)
     found = daemon.table.read([KEY])[KEY]
@@ -134,7 +134,7 @@
 
 def test_a_row_that_does_not_exist_may_be_written_in_any_epoch(rows: Rows) -> None:
     daemon = Daemon(rows, "d1")
-    rows.restores_in_a_write = True
+    rows.restores_during_write = True
     assert daemon.table.transact(
         Transaction([Condition(KEY, ABSENT)], [Write(KEY, encode_value(1))])
     ).committed
@@ -149,7 +149,7 @@
         assert other.keep()
         if copied == "released":
             other.lease.release()
-    rows.keep_copy()
+    rows.back_up()
     while not holder.keep():
         clock.at += 0.4
     rows.restore()
@@ -167,7 +167,7 @@
 
 def test_the_holder_of_a_lost_lease_rewrites_and_keeps_it(rows: Rows, clock: ManualClock) -> None:
     holder, other = Daemon(rows, "d1"), Daemon(rows, "d2")
-    rows.keep_copy()
+    rows.back_up()
     assert holder.keep()
     epoch = holder.lease.epoch
     rows.restore()
@@ -186,7 +186,7 @@
     first, holder = Daemon(rows, "d1"), Daemon(rows, "d2")
     assert first.keep()
     first.lease.release()
-    rows.keep_copy()
+    rows.back_up()
     assert holder.keep()
     rows.restore()
     started = Daemon(rows, "d3")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -43,7 +43,7 @@
         settings.explain(tree_with(), GATES, "limits.colour")
 
 
-BAD_TREES = [
+INVALID_TREES = [
     ("unknown field", {"colour": "red"}, "colour"),
     ("wrong type", {"root": {"share": "much"}}, "$.root.share"),
     ("share of nothing", {"root": {"groups": {"khangai": {"share": 0}}}}, "root.groups.khangai.share"),
@@ -78,7 +78,7 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "changes", "where"), BAD_TREES, ids=[row[0] for row in BAD_TREES])
+@pytest.mark.parametrize(("name", "changes", "where"), INVALID_TREES, ids=[row[0] for row in INVALID_TREES])
 def test_an_invalid_tree_is_refused_with_the_field(name, changes, where):
     with pytest.raises(InvalidSettings) as caught:
         tree_with(**changes)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -18,7 +18,7 @@
 from bayglade.revisions import EMPTY
 from bayglade.usage import Usage
 
-AT_REST = 3
+IDLE_CONNECTIONS = 3
 PAGE = b'{"rows":[],"ver":7,"more":false}'
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
     len(PAGE),
@@ -26,13 +26,13 @@
 )
 
 
-class FallsSilent:
+class SilentStore:
     """A store whose connections answer one call each and accept further ones without answering."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = Address(*self.sock.getsockname())
-        self.all_open = threading.Barrier(AT_REST)
+        self.all_open = threading.Barrier(IDLE_CONNECTIONS)
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -52,7 +52,7 @@
                 pass
 
 
-def calls_at_once(client: store.Store, count: int) -> list[int]:
+def concurrent_calls(client: store.Store, count: int) -> list[int]:
     """Make calls concurrently; return the versions of those that were answered."""
     versions: list[int] = []
 
@@ -70,13 +70,13 @@
 
 def test_one_silent_connection_to_the_store_closes_all_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store, "READ_TIMEOUT", 0.3)
-    server = FallsSilent()
+    server = SilentStore()
     client = store.Store(server.address)
     # Several connections are idle at once, as with the feeds of a daemon.
-    assert calls_at_once(client, AT_REST) == [7] * AT_REST
+    assert concurrent_calls(client, IDLE_CONNECTIONS) == [7] * IDLE_CONNECTIONS
     with pytest.raises(PlatformUnavailable):
         client.snapshot("t")
-    assert calls_at_once(client, AT_REST) == [7] * AT_REST
+    assert concurrent_calls(client, IDLE_CONNECTIONS) == [7] * IDLE_CONNECTIONS
     server.sock.close()
 
 
@@ -89,7 +89,7 @@
         raise AssertionError("nothing is offered here")
 
 
-def hearing(monkeypatch: pytest.MonkeyPatch, stream_age: float) -> tuple[Membership, Member]:
+def member_with_stream(monkeypatch: pytest.MonkeyPatch, stream_age: float) -> tuple[Membership, Member]:
     at = 100.0
     monkeypatch.setattr(membership, "now", lambda: at)
     me = Membership(
@@ -111,14 +111,14 @@
     return me, other
 
 
-def beat(heard_age: float) -> Heartbeat:
+def heartbeat(heard_age: float) -> Heartbeat:
     return Heartbeat(
         revision=Revision(0), draining=False, usage=[], leaving=[], held=[], heard_age=heard_age
     )
 
 
 @pytest.mark.parametrize(
-    ("heard_age", "stream_age", "broken"),
+    ("heard_age", "stream_age", "closed"),
     [
         (0.0, 60.0, False),
         (ONE_WAY_SILENCE_SECONDS - 0.5, 60.0, False),
@@ -128,19 +128,19 @@
     ids=["never heard", "heard lately", "not heard", "a new stream"],
 )
 def test_a_stream_on_which_the_peer_receives_nothing_is_closed(
-    monkeypatch: pytest.MonkeyPatch, heard_age: float, stream_age: float, broken: bool
+    monkeypatch: pytest.MonkeyPatch, heard_age: float, stream_age: float, closed: bool
 ) -> None:
-    me, other = hearing(monkeypatch, stream_age)
-    me._handle(other.id, beat(heard_age))
+    me, other = member_with_stream(monkeypatch, stream_age)
+    me._handle(other.id, heartbeat(heard_age))
     assert other.stream is not None
-    assert other.stream.peer_receives_nothing is broken
-    if broken:
+    assert other.stream.peer_receives_nothing is closed
+    if closed:
         with pytest.raises(OSError, match="receives nothing"):
-            other.stream.send(beat(0.0))
+            other.stream.send(heartbeat(0.0))
 
 
 def test_a_heartbeat_reports_how_long_ago_its_receiver_was_heard(monkeypatch: pytest.MonkeyPatch) -> None:
-    me, other = hearing(monkeypatch, 60.0)
+    me, other = member_with_stream(monkeypatch, 60.0)
     me.last_heard[other.id] = 97.5
     assert me._heartbeat(other.id).heard_age == pytest.approx(2.5)
     assert me._heartbeat(MemberId("c")).heard_age == 0.0
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -47,7 +47,7 @@
     return str(states.get(server.id, "gone"))
 
 
-def write_and_lose(site: UsersSite, daemons: Sequence[Daemon], away: float = 0.05) -> None:
+def write_and_restore(site: UsersSite, daemons: Sequence[Daemon], away: float = 0.05) -> None:
     """Make some changes that all daemons know and that the restored store has lost."""
     copied = site.store.version
     for _ in range(LOST_WRITES):
@@ -58,13 +58,13 @@
     site.restore_store(copied, away)
 
 
-AWAY = pytest.mark.parametrize("away", [0.05, 0.7])
+RESTORE_DELAYS = pytest.mark.parametrize("away", [0.05, 0.7])
 
 
-@AWAY
+@RESTORE_DELAYS
 def test_a_server_that_leaves_after_a_restore_gets_no_more_requests(site: UsersSite, away: float) -> None:
     daemons = start(site)
-    write_and_lose(site, daemons, away)
+    write_and_restore(site, daemons, away)
     time.sleep(0.3)
     leaving = site.of(PLAIN)[0]
     leaving.leave()
@@ -76,10 +76,10 @@
     assert {state_of(daemon, leaving) for daemon in daemons} == {"leaving"}
 
 
-@AWAY
+@RESTORE_DELAYS
 def test_a_change_after_the_store_was_restored_is_in_force_in_time(site: UsersSite, away: float) -> None:
     daemons = start(site)
-    write_and_lose(site, daemons, away)
+    write_and_restore(site, daemons, away)
     time.sleep(0.3)
     site.configure(("another-key",))
     acknowledged = time.monotonic()
@@ -93,7 +93,7 @@
 
 def test_a_row_that_is_removed_after_the_store_was_restored_is_gone_everywhere(site: UsersSite) -> None:
     daemons = start(site)
-    write_and_lose(site, daemons)
+    write_and_restore(site, daemons)
     time.sleep(0.3)
     removed = site.of(PLAIN)[0]
     site.store.drop("servers", removed.id)
