--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -243,8 +243,7 @@
         return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in relayable)
 
     def _has_news(self, member: MemberId) -> bool:
-        """Return whether a table is newer or notably fresher here than in the copy of the daemon that
-        polls."""
+        """Return whether a table is newer or notably fresher here than for the daemon that polls."""
         relayed = self.relayed_known_at.get(member, {})
         return self._has_changes(member) or any(
             feed.known_at - relayed.get(name, 0.0) >= MIN_FRESHER_FRACTION * feed.wait
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -181,8 +181,7 @@
         self.task = eventlet.spawn(self.run)
 
     def interrupt(self) -> None:
-        """Restart the current call: another feed found the store unavailable, and nobody relays the
-        table."""
+        """Restart the current call because another feed lost the store, unless the table is relayed."""
         if self.failing_since is None and self.task is not None and self._seconds_to_call() <= 0:
             self.failing_since = now()
             self.start()
@@ -190,8 +189,8 @@
     def run(self) -> None:
         """Follow the table forever."""
         while True:
-            if (rest := self._seconds_to_call()) > 0:
-                self._wait_for_wake(rest)
+            if (seconds := self._seconds_to_call()) > 0:
+                self._wait_for_wake(seconds)
                 continue
             try:
                 self._poll()
@@ -203,10 +202,10 @@
                 self._back_off()
 
     def _poll(self) -> None:
-        asked, wait = now(), 0.0
-        self.called_at = asked
+        called, wait = now(), 0.0
+        self.called_at = called
         after = self.position if self.is_current() else None
-        whole = after is None
+        is_snapshot = after is None
         if after is None:
             changes = self._with_position(self.store.snapshot(self.table), self.history_gone_after)
         else:
@@ -214,21 +213,21 @@
             changes = self._with_position(self.store.changes(self.table, after, wait), after)
             if was_restored(after, changes.position):
                 raise HistoryGone("the store was restored", step="read", peer="store")
-        self.lost_at, self.failures, self.confirmed_at = 0.0, 0, asked
+        self.lost_at, self.failures, self.confirmed_at = 0.0, 0, called
         if self.failing_since is not None:
             event("INFO", "store regained", table=self.table, out=round(now() - self.failing_since, 2))
             self.recovered_at = self._recovery_time(self.failing_since)
             self.failing_since = None
             if self.on_recovered is not None:
                 self.on_recovered()
-        self.idle = not whole and not changes.rows and now() - asked >= wait
-        self.known_at = max(self.known_at, asked + wait if self.idle else asked)
-        if whole:
+        self.idle = not is_snapshot and not changes.rows and now() - called >= wait
+        self.known_at = max(self.known_at, called + wait if self.idle else called)
+        if is_snapshot:
             self.no_call_before = now() + SNAPSHOT_REST_SECONDS if self.relay_valid_seconds else 0.0
-        taken = self._apply_changes(changes, whole)
+        applied = self._apply_changes(changes, is_snapshot)
         if self.on_answer is not None:
             self.on_answer()
-        if taken:
+        if applied:
             eventlet.sleep(self.batch_delay)
 
     def receive(
@@ -240,9 +239,9 @@
     ) -> None:
         """Apply what another daemon relays of the table.
 
-        Updates from a superseded epoch, or with a gap before them, don't make the local copy any fresher.
-        Rows that are already known here do: a snapshot taken later has a later version even if none of its
-        rows has changed.
+        An update from a superseded epoch, or with a gap before it, doesn't make the local copy any fresher.
+        One at an earlier position than the local copy does: a snapshot taken later has a later version even
+        if no row has changed.
 
         :param changes: rows that changed, as of the sender's position.
         :param after: the position they changed after; None when they are a snapshot.
@@ -271,8 +270,7 @@
         self._apply_changes(changes, after is None)
 
     def rely_on_relays(self, relayed: bool) -> None:
-        """Set whether to rely on updates that other daemons relay, within the limit set by the table's
-        bound.
+        """Set whether to rely on updates that other daemons relay, for as long as the bound allows.
 
         :param relayed: whether others relay the table; if not, the feed follows the store.
         """
@@ -294,8 +292,8 @@
         if after is not None and after.epoch == position.epoch and after >= self.removals_known_from:
             changed: Rows = {key: value for key, (at, value) in self.rows.items() if at > after}
             return Changes(changed, position.version, position.epoch), False
-        whole: Rows = {key: value for key, (_, value) in self.rows.items() if value is not None}
-        return Changes(whole, position.version, position.epoch), True
+        snapshot: Rows = {key: value for key, (_, value) in self.rows.items() if value is not None}
+        return Changes(snapshot, position.version, position.epoch), True
 
     def is_current(self) -> bool:
         """Return whether the table is known as of the newest epoch of the store."""
@@ -323,8 +321,7 @@
         return changes
 
     def _stale(self, changes: Changes, known: Position | None) -> bool:
-        """Return whether changes lead to an earlier position than was known; versions only grow within an
-        epoch.
+        """Return whether changes lead behind a known position; versions only grow within an epoch.
 
         A store that does not name its epoch may have been restored instead, so it is never judged stale.
         """
@@ -355,18 +352,18 @@
         if self.task is not None and behind and self._seconds_to_call() <= 0:
             self.start()
 
-    def _apply_changes(self, changes: Changes, whole: bool) -> bool:
+    def _apply_changes(self, changes: Changes, is_snapshot: bool) -> bool:
         """Apply rows unless newer ones arrived another way meanwhile; return whether there were any."""
         if self.position is not None and changes.position < self.position:
             return False
-        if self.position == changes.position and (whole or not changes.rows):
+        if self.position == changes.position and (is_snapshot or not changes.rows):
             return False
         self._note_restored(changes)
         self.position, self.confirmed_at = changes.position, now()
-        self._keep_rows(changes, whole)
-        if not whole and not changes.rows:
+        self._keep_rows(changes, is_snapshot)
+        if not is_snapshot and not changes.rows:
             return False
-        self.apply(changes, whole)
+        self.apply(changes, is_snapshot)
         return True
 
     def _note_restored(self, changes: Changes) -> None:
@@ -404,8 +401,8 @@
             rows=len(changes.rows),
         )
 
-    def _keep_rows(self, changes: Changes, whole: bool) -> None:
-        if whole:
+    def _keep_rows(self, changes: Changes, is_snapshot: bool) -> None:
+        if is_snapshot:
             self.rows.clear()
             self.removals_known_from = changes.position
         self.rows.update((key, (changes.position, value)) for key, value in changes.rows.items())
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -171,8 +171,7 @@
         return [member.id for member in self.membership.live()] if self.membership is not None else []
 
     def reads_store(self) -> bool:
-        """Return whether this gateway reads the store itself, as a reader for others or as the only
-        gateway."""
+        """Return whether this gateway reads the store, either for others or because no other does."""
         return self.plan.role is Role.SITE_READER
 
     def announce_stop(self) -> None:
@@ -193,8 +192,7 @@
             self.membership.fetch_after = FETCH_DELAY
 
     def _awaited_members(self) -> Set[MemberId] | None:
-        """Return the gateways that must be heard before this one serves; None before this one has
-        joined."""
+        """Return the gateways to hear before this one serves; None before it has joined."""
         return self.membership.members.keys() if self.membership is not None else None
 
     def _limit_keeper(self, server: Server) -> MemberId | None:
