--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -370,7 +370,7 @@
         if restored:
             self._merge_restored(before)
         elif self.config.member not in self.roster.members:
-            self._schedule_rewrite("others took this gateway for gone")
+            self._schedule_rewrite("the own row is missing or marked as gone")
         self._check_secret(self.membership)
         self._roster_changed()
 
