--- a/bayglade/catchup.py
+++ b/bayglade/catchup.py
@@ -34,7 +34,7 @@
         """Daemons that have caught up themselves."""
 
     def __repr__(self) -> str:
-        return f"<CatchUp heard={sorted(self.revisions)}>"
+        return f"<CatchUp members={sorted(self.revisions)}>"
 
     def record(self, member: MemberId, revision: Revision, caught_up: bool) -> None:
         """Record the settings that another daemon reports.
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -15,7 +15,7 @@
 from bayglade.directory import Directory
 from bayglade.engines import create_engines
 from bayglade.entries import Membership
-from bayglade.entries.membership import LOST_AFTER_SECONDS
+from bayglade.entries.membership import LIVE_TIMEOUT
 from bayglade.entries.wire import Heartbeat
 from bayglade.exceptions import BaygladeError
 from bayglade.ids import BackendId, MemberId
@@ -266,7 +266,7 @@
 
     def _mark_leaving(self) -> None:
         """Bring together what the host list, other daemons and the servers say."""
-        since = now() - LOST_AFTER_SECONDS
+        since = now() - LIVE_TIMEOUT
         self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > since}
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
         self.router.leaving = elsewhere
--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -26,11 +26,11 @@
 from bayglade.revisions import Current
 from bayglade.usage import GroupUsage, Usage
 
-LOST_AFTER_SECONDS = 3.5
+LIVE_TIMEOUT = 3.5
 ONE_WAY_SILENCE_SECONDS = 3.0
-"""A stream is dialled again once the other side reports having heard nothing for so long."""
-REDIAL_MIN = 0.1
-REDIAL_MAX = 2.0
+"""A stream is dialled again once the other side reports having heard nothing for this many seconds."""
+MIN_REDIAL_DELAY = 0.1
+MAX_REDIAL_DELAY = 2.0
 MAX_OUTBOX = 32
 """Limit on messages queued for an unreachable daemon; a sender that needs an answer asks again."""
 
@@ -87,7 +87,7 @@
 
     def is_live(self, at: float) -> bool:
         """Return whether it was heard recently."""
-        return at - self.heard_at < LOST_AFTER_SECONDS
+        return at - self.heard_at < LIVE_TIMEOUT
 
     def wait(self, seconds: float) -> None:
         """Wait before dialling again, or until there is something to send."""
@@ -294,15 +294,15 @@
 
     def _send(self, member: Member) -> None:
         """Keep a stream to one neighbour open and send on it."""
-        pause = REDIAL_MIN
+        pause = MIN_REDIAL_DELAY
         while True:
             try:
                 stream = streams.dial(member.address, self.me, self.secret)
             except (OSError, PeerError):
                 member.wait(pause * self.rng.uniform(0.5, 1.0))
-                pause = min(REDIAL_MAX, pause * 2)
+                pause = min(MAX_REDIAL_DELAY, pause * 2)
                 continue
-            pause = REDIAL_MIN
+            pause = MIN_REDIAL_DELAY
             member.heartbeat_due = True
             member.outbox = [*self.first_messages(), *member.outbox]
             member.stream, member.stream_since = stream, now()
@@ -348,7 +348,7 @@
         try:
             stream = streams.accept(connection, self.secret)
             peer = stream.member
-            for message in stream.messages(LOST_AFTER_SECONDS * 2):
+            for message in stream.messages(LIVE_TIMEOUT * 2):
                 self.bytes_in += stream.take_received_bytes()
                 self._handle(stream.member, message)
         except (OSError, BaygladeError) as error:
@@ -408,7 +408,7 @@
             member.push(wire.Fetch(self.me, self.revisions.current.revision))
 
     def _check_one_way_silence(self, member: Member, age: float) -> None:
-        """Give up a stream on which the other side receives nothing while the connection shows no error.
+        """Abandon a stream on which the other side receives nothing while the connection shows no error.
 
         :param age: seconds since the other side heard this daemon.
         """
--- a/bayglade/entries/streams.py
+++ b/bayglade/entries/streams.py
@@ -16,8 +16,9 @@
 HANDSHAKE_TIMEOUT = 2.0
 SEND_TIMEOUT = 2.0
 USER_TIMEOUT_MS = 2500
-"""The kernel closes a stream whose data stays unacknowledged for so long. A link that drops all packets of
-an open connection causes no error, and heartbeats on a stream are only sent, never answered on it."""
+"""Milliseconds without an acknowledgement after which the kernel closes a stream. A link that drops all
+packets of an open connection causes no error, and nothing is ever sent back on a stream that carries
+heartbeats."""
 READ_BYTES = 64 * 1024
 HANDSHAKE_BYTES = 4096
 
--- a/bayglade/epochs.py
+++ b/bayglade/epochs.py
@@ -1,8 +1,4 @@
-"""Epochs: which incarnation of the platform's store this daemon knows of.
-
-A store that fails may be restored from a backup that is some seconds old. Writes acknowledged
-since the backup are lost, version numbers are assigned a second time, and a new epoch begins.
-"""
+"""Epochs: how this daemon tells apart the histories of the platform's store before and after a restore."""
 
 from collections.abc import Callable
 
@@ -50,8 +46,8 @@
             return
         event("WARNING", "store restored", before=before, epoch=epoch)
         self.restored_at = now()
-        for tell in self.on_restored:
-            eventlet.spawn_n(tell)
+        for callback in self.on_restored:
+            eventlet.spawn_n(callback)
 
 
 class EpochGuardedTable:
--- a/bayglade/fleet.py
+++ b/bayglade/fleet.py
@@ -298,7 +298,7 @@
 
     def _add_unconfirmed(self, facts: ServerFacts) -> None:
         """Use an entry of a server that was gone for nothing until it is known to be the server's own."""
-        if facts.id in self.servers or facts.key not in self.tombstones.known:
+        if facts.id in self.servers or facts.key not in self.tombstones.by_incarnation:
             return
         self._add(facts)
         self.servers[facts.id].unconfirmed_until = now() + self.expiry
@@ -357,7 +357,7 @@
     def _drop(self, backend: BackendId) -> None:
         server = self.servers.pop(backend, None)
         if server is not None:
-            self.tombstones.add(server, now())
+            self.tombstones.remember(server, now())
             if not server.leaving:
                 self.on_unlisted(server)
             server.leaving = True
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -62,8 +62,8 @@
 CHECK_INTERVAL = 0.5
 """Interval of the check for silent daemons, in seconds; heartbeats are sent every second."""
 GONE_AFTER_SECONDS = 20.0
-"""A gateway that has been silent for so long is marked as gone in the roster; restarts take a few
-seconds."""
+"""A gateway that has been silent for this many seconds is marked as gone in the roster; a restart takes a
+few."""
 GONE_CHECK_INTERVAL = 5.0
 """Interval of the check for such gateways, in seconds."""
 STOP_REWRITE_SECONDS = 3.0
--- a/bayglade/settings.py
+++ b/bayglade/settings.py
@@ -317,7 +317,7 @@
     for path, level in walk(tree.root):
         _check_level(tree, path, level)
     _ensure(tree.placement.loads_at_once > 0, "placement.loads_at_once", "must be above zero")
-    _ensure(0 <= tree.placement.keep_part < 1, "placement.keep_part", "must lie in [0, 1)")
+    _ensure(0 <= tree.placement.keep_part < 1, "placement.keep_part", "must be in [0, 1)")
     for name, model in tree.models.items():
         _ensure(model.layers > 0, f"models.{name}.layers", "must be above zero")
     for backend_id, backend in tree.backends.items():
@@ -360,7 +360,7 @@
     _ensure(
         0 <= backend.first < backend.last <= layers,
         f"{where}.first",
-        f"layers [{backend.first}, {backend.last}) do not lie in [0, {layers})",
+        f"layers [{backend.first}, {backend.last}) are not within [0, {layers})",
     )
 
 
--- a/bayglade/tombstones.py
+++ b/bayglade/tombstones.py
@@ -26,32 +26,32 @@
 
 
 class Tombstones:
-    """Tombstones by server incarnation."""
+    """Remembers the announcements of servers that are no longer listed, by server incarnation."""
 
     def __init__(self) -> None:
-        self.known: dict[ServerKey, Tombstone] = {}
+        self.by_incarnation: dict[ServerKey, Tombstone] = {}
 
     def __repr__(self) -> str:
-        return f"<Tombstones of {len(self.known)} servers>"
+        return f"<Tombstones of {len(self.by_incarnation)} servers>"
 
-    def add(self, server: Server, at: float) -> None:
+    def remember(self, server: Server, at: float) -> None:
         """Remember what a server that is no longer listed announced."""
         rest_until = server.rest_until if server.resting(at) else 0.0
-        self.known[server.facts.key] = Tombstone(
+        self.by_incarnation[server.facts.key] = Tombstone(
             server.leaving, rest_until, server.rate_limit, server.throttle
         )
-        if len(self.known) > MAX_TOMBSTONES:
-            del self.known[next(iter(self.known))]
+        if len(self.by_incarnation) > MAX_TOMBSTONES:
+            del self.by_incarnation[next(iter(self.by_incarnation))]
 
     def restore(self, server: Server) -> bool:
         """Restore what a server that is listed again announced in its current incarnation.
 
         :return: whether this incarnation was listed before.
         """
-        stone = self.known.pop(server.facts.key, None)
-        if stone is None:
+        tombstone = self.by_incarnation.pop(server.facts.key, None)
+        if tombstone is None:
             return False
-        server.leaving = server.leaving or stone.leaving
-        server.rest_until = stone.rest_until
-        server.rate_limit, server.throttle = stone.rate_limit, stone.throttle
+        server.leaving = server.leaving or tombstone.leaving
+        server.rest_until = tombstone.rest_until
+        server.rate_limit, server.throttle = tombstone.rate_limit, tombstone.throttle
         return True
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -119,7 +119,7 @@
         fleet.take([facts_of(backend)], [], outage=False)
         fleet.rest(fleet.servers[backend], REST)
         fleet.take([], [backend], outage=False)
-    assert len(fleet.tombstones.known) == MAX_TOMBSTONES
+    assert len(fleet.tombstones.by_incarnation) == MAX_TOMBSTONES
 
 
 class Connections:
