--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -73,31 +73,32 @@
 def start(site: UsersSite, count: int) -> list[Daemon]:
     daemons = [site.start(f"hall-{n % 2}", retry_floor=1000.0) for n in range(count)]
     for daemon in daemons:
-        wait_for("it hears the others", lambda d=daemon: len(d.beliefs()["members"]) == count - 1)
+        wait_for("it hears from the others", lambda d=daemon: len(d.beliefs()["members"]) == count - 1)
     return daemons
 
 
 def test_all_rows_lost_in_a_restore_are_rewritten(site: UsersSite) -> None:
-    copied = site.store.version
+    backed_up = site.store.version
     daemons = start(site, 4)
     secret = site.store.rows[TABLE, SECRET_KEY][1]
     names = {(TABLE, MEMBER_PREFIX + daemon.settings["member"]) for daemon in daemons}
-    site.restore_store(copied)
+    site.restore_store(backed_up)
     site.write_again()
-    wait_for("their rows are there again", lambda: names <= site.store.rows.keys())
+    wait_for("their rows are rewritten", lambda: names <= site.store.rows.keys())
     assert site.store.rows[TABLE, SECRET_KEY][1] == secret
     joined = site.start("hall-0", retry_floor=1000.0)
     wait_for(
-        "all hear each other", lambda: all(len(d.beliefs()["members"]) == 4 for d in [*daemons, joined])
+        "all hear from each other",
+        lambda: all(len(d.beliefs()["members"]) == 4 for d in [*daemons, joined]),
     )
 
 
 def test_a_secret_created_after_a_restore_is_replaced(site: UsersSite) -> None:
-    copied = site.store.version
+    backed_up = site.store.version
     daemons = start(site, 3)
     secret = site.store.rows[TABLE, SECRET_KEY][1]
-    site.restore_store(copied)
-    site.store.put(TABLE, SECRET_KEY, "made on the restored store")
+    site.restore_store(backed_up)
+    site.store.put(TABLE, SECRET_KEY, "created on the restored store")
     site.write_again()
     wait_for("the secret is the earlier one", lambda: site.store.rows[TABLE, SECRET_KEY][1] == secret)
     time.sleep(1.0)
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -47,10 +47,10 @@
         self.epoch = StoreEpoch(self.epoch + 1)
 
     def snapshot(self, table: str) -> Changes:
-        raise AssertionError("nothing is followed here")
+        raise AssertionError("no table is followed in this test")
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
-        raise AssertionError("nothing is followed here")
+        raise AssertionError("no table is followed in this test")
 
     def read(self, keys: list[str]) -> dict[str, Row]:
         found = {key: self.rows[key] for key in keys if key in self.rows}
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -33,7 +33,7 @@
         return Changes({key: row.value for key, row in self.rows.items()}, self.version)
 
     def changes(self, table: str, after: int, wait: float) -> Changes:
-        raise AssertionError("nothing is followed here")
+        raise AssertionError("no table is followed in this test")
 
     def read(self, keys: list[str]) -> dict[str, Row]:
         self._call()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -86,7 +86,7 @@
     current = EMPTY
 
     def offer(self, *_: object) -> None:
-        raise AssertionError("nothing is offered here")
+        raise AssertionError("no settings are offered in this test")
 
 
 def member_with_stream(monkeypatch: pytest.MonkeyPatch, stream_age: float) -> tuple[Membership, Member]:
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -36,7 +36,7 @@
 def start(site: UsersSite, count: int = DAEMONS) -> list[Daemon]:
     daemons = [site.start(f"hall-{n % 2}", retry_floor=1000.0) for n in range(count)]
     for daemon in daemons:
-        wait_for("it hears the others", lambda d=daemon: len(d.beliefs()["members"]) == count - 1)
+        wait_for("it hears from the others", lambda d=daemon: len(d.beliefs()["members"]) == count - 1)
     time.sleep(SETTLE_SECONDS)
     return daemons
 
@@ -49,13 +49,16 @@
 
 def write_and_restore(site: UsersSite, daemons: Sequence[Daemon], away: float = 0.05) -> None:
     """Make some changes that all daemons know and that the restored store has lost."""
-    copied = site.store.version
+    backed_up = site.store.version
     for _ in range(LOST_WRITES):
         site.configure()
-    wait_for("all know the settings", lambda: all(d.beliefs()["settings"] == site.version for d in daemons))
+    wait_for(
+        "all daemons know the settings",
+        lambda: all(d.beliefs()["settings"] == site.version for d in daemons),
+    )
     # Other tables reach these versions once their calls have been answered.
     time.sleep(SETTLE_SECONDS)
-    site.restore_store(copied, away)
+    site.restore_store(backed_up, away)
 
 
 RESTORE_DELAYS = pytest.mark.parametrize("away", [0.05, 0.7])
@@ -84,7 +87,7 @@
     site.configure(("another-key",))
     acknowledged = time.monotonic()
     wait_for(
-        "all have the settings",
+        "all daemons have the settings",
         lambda: all(daemon.beliefs()["settings"] == site.version for daemon in daemons),
     )
     assert time.monotonic() - acknowledged <= CONFIG_SECONDS
@@ -108,13 +111,13 @@
 def test_a_server_removed_before_a_restore_gets_no_requests(site: UsersSite) -> None:
     daemons = start(site)
     gone = site.of(PLAIN)[0]
-    copied = site.store.version
+    backed_up = site.store.version
     site.store.drop("servers", gone.id)
-    wait_for("all know it", lambda: {state_of(daemon, gone) for daemon in daemons} == {"gone"})
+    wait_for("all daemons know it", lambda: {state_of(daemon, gone) for daemon in daemons} == {"gone"})
     # Requests in progress have ended.
     time.sleep(0.2)
     before = len(gone.arrived)
-    site.restore_store(copied)
+    site.restore_store(backed_up)
     until = time.monotonic() + 2.0
     while time.monotonic() < until:
         for daemon in daemons:
@@ -124,24 +127,27 @@
 
 def test_a_daemon_whose_row_was_lost_in_a_restore_rewrites_it(site: UsersSite) -> None:
     start(site)
-    copied = site.store.version
+    backed_up = site.store.version
     joined = site.start("hall-1")
-    wait_for("it hears the others", lambda: len(joined.beliefs()["members"]) == DAEMONS)
+    wait_for("it hears from the others", lambda: len(joined.beliefs()["members"]) == DAEMONS)
     row = ("bayglade-members", f"members/{joined.settings['member']}")
     assert row in site.store.rows
-    site.restore_store(copied)
+    site.restore_store(backed_up)
     assert row not in site.store.rows
-    wait_for("its row is there again", lambda: row in site.store.rows)
+    wait_for("its row is rewritten", lambda: row in site.store.rows)
 
 
 def test_a_daemon_started_after_a_restore_does_not_serve_with_older_settings(
     site: UsersSite,
 ) -> None:
     daemons = start(site)
-    copied = site.store.version
+    backed_up = site.store.version
     site.configure(("another-key",))
-    wait_for("all know the settings", lambda: all(d.beliefs()["settings"] == site.version for d in daemons))
-    site.restore_store(copied)
+    wait_for(
+        "all daemons know the settings",
+        lambda: all(d.beliefs()["settings"] == site.version for d in daemons),
+    )
+    site.restore_store(backed_up)
     late = Daemon(site, "late", "hall-0", {})
     site.daemons.append(late)
     until = time.monotonic() + 4.0
