--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -95,7 +95,7 @@
         with eventlet.Timeout(seconds, False):
             self.wake.wait()
 
-    def push(self, message: wire.Message | None = None) -> None:
+    def queue(self, message: wire.Message | None = None) -> None:
         """Queue a message, or a heartbeat if none is given, and wake the sending task."""
         if message is None:
             self.heartbeat_due = True
@@ -117,7 +117,7 @@
         metrics: Metrics,
         leaving: Callable[[], list[BackendId]],
         held: Callable[[], list[wire.HeldVersion]],
-        on_beat: Callable[[MemberId, wire.Heartbeat], None],
+        on_heartbeat: Callable[[MemberId, wire.Heartbeat], None],
         rng: random.Random,
     ) -> None:
         self.me = me
@@ -127,7 +127,7 @@
         self.metrics = metrics
         self.leaving = leaving
         self.held = held
-        self.on_heartbeat = on_beat
+        self.on_heartbeat = on_heartbeat
         self.rng = rng
         self.listed: set[MemberId] = {me}
         self.members: dict[MemberId, Member] = {}
@@ -150,8 +150,10 @@
         self.first_messages: Callable[[], list[wire.Findings]] = list
         """Returns the messages to send first on each new stream to another daemon."""
 
-        self.on_borrow: Callable[[MemberId, wire.BorrowRequest], None] = lambda member, message: None
-        self.on_lent: Callable[[MemberId, wire.BorrowReply], None] = lambda member, message: None
+        self.on_borrow_request: Callable[[MemberId, wire.BorrowRequest], None] = lambda member, message: (
+            None
+        )
+        self.on_borrow_reply: Callable[[MemberId, wire.BorrowReply], None] = lambda member, message: None
         self.on_quota_request: Callable[[MemberId, wire.QuotaRequest], None] = lambda member, message: None
         self.on_quota_reply: Callable[[MemberId, wire.QuotaReply], None] = lambda member, message: None
         self.on_quota_return: Callable[[MemberId, wire.QuotaReturn], None] = lambda member, message: None
@@ -228,7 +230,7 @@
         self.last_patch = _make_patch(before, after)
         self.send_heartbeats()
 
-    def push(self, member_id: MemberId, message: wire.Message) -> None:
+    def send(self, member_id: MemberId, message: wire.Message) -> None:
         """Send a message to a daemon that this one has a stream to.
 
         :param member_id: the daemon; ignored if unknown.
@@ -236,7 +238,7 @@
         """
         member = self.members.get(member_id)
         if member is not None:
-            member.push(message)
+            member.queue(message)
 
     def broadcast(self, message: wire.Message, but: MemberId | None = None) -> None:
         """Send a message to every daemon that this one has a stream to.
@@ -246,12 +248,12 @@
         """
         for member_id, member in self.members.items():
             if member_id != but:
-                member.push(message)
+                member.queue(message)
 
     def send_heartbeats(self) -> None:
         """Send a heartbeat to every neighbour at once."""
         for member in self.members.values():
-            member.push()
+            member.queue()
 
     def serve(self, sock: socket.socket) -> None:
         """Accept streams from other daemons until the socket is closed.
@@ -294,15 +296,15 @@
 
     def _send(self, member: Member) -> None:
         """Keep a stream to one neighbour open and send on it."""
-        pause = MIN_REDIAL_DELAY
+        delay = MIN_REDIAL_DELAY
         while True:
             try:
                 stream = streams.dial(member.address, self.me, self.secret)
             except (OSError, PeerError):
-                member.wait(pause * self.rng.uniform(0.5, 1.0))
-                pause = min(MAX_REDIAL_DELAY, pause * 2)
+                member.wait(delay * self.rng.uniform(0.5, 1.0))
+                delay = min(MAX_REDIAL_DELAY, delay * 2)
                 continue
-            pause = MIN_REDIAL_DELAY
+            delay = MIN_REDIAL_DELAY
             member.heartbeat_due = True
             member.outbox = [*self.first_messages(), *member.outbox]
             member.stream, member.stream_since = stream, now()
@@ -363,13 +365,13 @@
         if member is not None and member.stream is None:
             # It is alive again. If it has just started, it waits for messages from others, so dial it at
             # once.
-            member.push()
+            member.queue()
         if isinstance(message, wire.Heartbeat):
             if member is not None:
                 self._handle_heartbeat(member, message)
         elif isinstance(message, wire.Fetch):
             if member is not None:
-                member.push(self._settings_for(message.have))
+                member.queue(self._settings_for(message.have))
         elif isinstance(message, wire.Poll):
             self.on_poll(sender, message)
         elif isinstance(message, wire.Updates):
@@ -379,9 +381,9 @@
         elif isinstance(message, wire.Findings):
             self.on_findings(sender, message)
         elif isinstance(message, wire.BorrowRequest):
-            self.on_borrow(sender, message)
+            self.on_borrow_request(sender, message)
         elif isinstance(message, wire.BorrowReply):
-            self.on_lent(sender, message)
+            self.on_borrow_reply(sender, message)
         elif isinstance(message, wire.QuotaRequest):
             self.on_quota_request(sender, message)
         elif isinstance(message, wire.QuotaReply):
@@ -393,19 +395,19 @@
         else:
             self._apply_patch(member, message)
 
-    def _handle_heartbeat(self, member: Member, beat: wire.Heartbeat) -> None:
+    def _handle_heartbeat(self, member: Member, heartbeat: wire.Heartbeat) -> None:
         member.heard_at = now()
-        member.revision = beat.revision
-        member.draining = beat.draining
-        self._check_one_way_silence(member, beat.heard_age)
-        self.usage.hear(member.id, beat.usage)
-        self.on_heartbeat(member.id, beat)
-        if beat.revision <= self.revisions.current.revision:
+        member.revision = heartbeat.revision
+        member.draining = heartbeat.draining
+        self._check_one_way_silence(member, heartbeat.heard_age)
+        self.usage.hear(member.id, heartbeat.usage)
+        self.on_heartbeat(member.id, heartbeat)
+        if heartbeat.revision <= self.revisions.current.revision:
             member.newer_settings_since = None
             return
         member.newer_settings_since = member.newer_settings_since or now()
         if now() - member.newer_settings_since >= self.fetch_after:
-            member.push(wire.Fetch(self.me, self.revisions.current.revision))
+            member.queue(wire.Fetch(self.me, self.revisions.current.revision))
 
     def _check_one_way_silence(self, member: Member, age: float) -> None:
         """Abandon a stream on which the other side receives nothing while the connection shows no error.
@@ -417,7 +419,7 @@
         if now() - member.stream_since >= ONE_WAY_SILENCE_SECONDS:
             event("INFO", "stream to daemon silent", peer=member.id, age=age)
             member.stream.peer_receives_nothing = True
-            member.push()
+            member.queue()
 
     def _settings_for(self, have: Revision) -> wire.Message:
         current = self.revisions.current
@@ -435,7 +437,7 @@
         if settings.digest_of(content) == message.digest:
             self.revisions.offer(message.revision, message.digest, content)
         elif member is not None:
-            member.push(wire.Fetch(self.me, Revision(0)))
+            member.queue(wire.Fetch(self.me, Revision(0)))
 
 
 def _make_patch(before: Current, after: Current) -> wire.Patch | None:
--- a/bayglade/epochs.py
+++ b/bayglade/epochs.py
@@ -33,7 +33,7 @@
     def __repr__(self) -> str:
         return f"<StoreHistory epoch={self.epoch}>"
 
-    def note(self, epoch: StoreEpoch) -> None:
+    def observe(self, epoch: StoreEpoch) -> None:
         """Record the epoch that an answer or another daemon names.
 
         :param epoch: the epoch; ignored unless it is newer.
--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -160,7 +160,7 @@
         """
         self.pending_polls[member] = PendingPoll(poll)
         for position in poll.have.values():
-            self.probe_feed.history.note(position.epoch)
+            self.probe_feed.history.observe(position.epoch)
         if self.probe_feed.lost_at:
             self.send(member, StoreUnreachable(poll.number))
         if self._has_news(member):
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -248,7 +248,7 @@
         :param known_at: a time such that they include every write acknowledged before it.
         :param recovered_at: when the store recovered for the daemon that read them, if it had been lost.
         """
-        self.history.note(changes.epoch)
+        self.history.observe(changes.epoch)
         if changes.epoch < self.history.epoch:
             self._count_dropped("earlier epoch", changes, after)
             return
@@ -309,7 +309,7 @@
         """
         if changes.epoch == UNKNOWN_EPOCH:
             changes = msgspec.structs.replace(changes, epoch=self.history.epoch)
-        self.history.note(changes.epoch)
+        self.history.observe(changes.epoch)
         if changes.epoch < self.history.epoch:
             self._count_dropped("earlier epoch", changes, None)
             raise PlatformUnavailable(
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -92,7 +92,7 @@
         self.shortest_bound = min(settings_bound, servers_bound)
         answer_seconds = answer_timeout(self.shortest_bound)
         self.history = StoreHistory()
-        self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
+        self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.observe)
         rows = EpochGuardedTable(self.store, self.history)
         self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN)
         self.links = Links()
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -347,8 +347,8 @@
         membership.on_store_unreachable = self.fanout.receive_store_unreachable
         membership.on_findings = self.spreading.heard
         membership.first_messages = self.spreading.greeting
-        membership.on_borrow = self.pools.heard_borrow
-        membership.on_lent = self.pools.heard_lent
+        membership.on_borrow_request = self.pools.heard_borrow
+        membership.on_borrow_reply = self.pools.heard_lent
         membership.on_quota_request = self.quotas.heard_request
         membership.on_quota_reply = self.quotas.heard_reply
         membership.on_quota_return = self.quotas.heard_return
@@ -465,7 +465,7 @@
 
     def _send(self, member: MemberId, message: wire.Message) -> None:
         if self.membership is not None:
-            self.membership.push(member, message)
+            self.membership.send(member, message)
 
     def _send_findings(self, findings: Findings, but: MemberId | None) -> None:
         if self.membership is not None:
--- a/bayglade/stop_commands.py
+++ b/bayglade/stop_commands.py
@@ -59,7 +59,7 @@
         content = Fingerprint(self.argument("content"))
         try:
             history = StoreHistory()
-            store = platform.Store(parse_address(self.option("store")), on_epoch=history.note)
+            store = platform.Store(parse_address(self.option("store")), on_epoch=history.observe)
             removed = remove_stop(EpochGuardedTable(store, history), content)
         except BaygladeError as error:
             self.line_error(error.message, style="error")
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -75,12 +75,12 @@
     def __init__(self, rows: Rows, name: str) -> None:
         self.rows = rows
         self.history = StoreHistory()
-        self.history.note(rows.epoch)
+        self.history.observe(rows.epoch)
         self.table = EpochGuardedTable(rows, self.history)
         self.lease = Lease(self.table, "placement", MemberId(name), DURATION, MARGIN, self.history)
 
     def keep(self) -> bool:
-        self.history.note(self.rows.epoch)
+        self.history.observe(self.rows.epoch)
         return self.lease.keep()
 
 
@@ -104,7 +104,7 @@
     found = daemon.table.read([KEY])[KEY]
     rows.restore()
     rows.put(KEY, "another")
-    daemon.history.note(rows.epoch)
+    daemon.history.observe(rows.epoch)
     wrong = Transaction([found.condition(KEY)], [Write(KEY, encode_value("mine"))])
     assert not daemon.table.transact(wrong).committed
     assert daemon.table.read([KEY])[KEY].value == encode_value("another")
@@ -125,7 +125,7 @@
     rows.put(KEY, "first")
     rows.back_up()
     rows.restore()
-    daemon.history.note(rows.epoch)
+    daemon.history.observe(rows.epoch)
     found = daemon.table.read([KEY])[KEY]
     assert daemon.table.transact(
         Transaction([found.condition(KEY)], [Write(KEY, encode_value("mine"))])
--- a/tests/test_store_epochs.py
+++ b/tests/test_store_epochs.py
@@ -141,9 +141,9 @@
 
 def test_an_answer_of_an_earlier_epoch_counts_as_failed(stored: MetadataStore) -> None:
     history = StoreHistory()
-    client = Store(parse_address(stored.server.address), on_epoch=history.note)
+    client = Store(parse_address(stored.server.address), on_epoch=history.observe)
     feed = Feed(client, "op", 1.0, lambda changes, whole: None, history=history)
-    history.note(StoreEpoch(5))
+    history.observe(StoreEpoch(5))
     with pytest.raises(PlatformUnavailable):
         feed._poll()
     assert feed.known_at == 0.0
