--- a/bayglade/entries/membership.py
+++ b/bayglade/entries/membership.py
@@ -363,8 +363,7 @@
         self.last_heard[sender] = now()
         member = self.members.get(sender)
         if member is not None and member.stream is None:
-            # It is alive again. If it has just started, it waits for messages from others, so dial it at
-            # once.
+            # It is alive again. If it has just started, it waits for messages from others: dial it at once.
             member.queue()
         if isinstance(message, wire.Heartbeat):
             if member is not None:
--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -55,7 +55,7 @@
         self.at = now()
 
     def __repr__(self) -> str:
-        return f"<Asked {self.number}>"
+        return f"<SentPoll {self.number}>"
 
 
 class PendingPoll:
@@ -68,7 +68,7 @@
         self.since = now()
 
     def __repr__(self) -> str:
-        return f"<Waiting {self.poll.number}>"
+        return f"<PendingPoll {self.poll.number}>"
 
 
 class Fanout:
@@ -89,7 +89,7 @@
         self.sources: tuple[MemberId, ...] = ()
         """The daemons that this one polls; none when it follows the store."""
 
-        self.last_number = 0
+        self.last_poll_number = 0
         self.sent_polls: dict[MemberId, SentPoll] = {}
         self.pending_polls: dict[MemberId, PendingPoll] = {}
         self.relayed_known_at: dict[MemberId, dict[str, float]] = {}
@@ -222,10 +222,10 @@
         self.peers_without_store = {member for member in self.peers_without_store if member in members}
 
     def _send_poll(self, source: MemberId) -> None:
-        self.last_number += 1
-        self.sent_polls[source] = SentPoll(self.last_number)
+        self.last_poll_number += 1
+        self.sent_polls[source] = SentPoll(self.last_poll_number)
         have = {name: feed.position for name, feed in self.feeds.items() if feed.position is not None}
-        self.send(source, Poll(self.last_number, have, self.address))
+        self.send(source, Poll(self.last_poll_number, have, self.address))
 
     def _relayable(self) -> dict[str, Feed]:
         """Return the tables that can be relayed.
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -100,6 +100,8 @@
         """When the position was last known to be in the store's history."""
 
         self.known_at = 0.0
+        """Every write acknowledged before this time is in the local copy."""
+
         self.idle = False
         """Whether the last own call waited its full time without a change."""
 
@@ -132,7 +134,7 @@
         """No call is made before this time, whatever was relayed."""
 
         self.initial_retry_delay = INITIAL_RETRY_DELAY
-        """Delay after the first failed call, in seconds; doubled with each further one up to the
+        """Delay after the first failed call, in seconds; doubled with each further failure up to the
         longest."""
 
         self.max_retry_delay = MAX_RETRY_DELAY
@@ -157,8 +159,7 @@
         """All rows removed after this position are still remembered."""
 
         self.history_gone_after: Position | None = None
-        """The position whose history was discarded or replaced; None once a snapshot has been read
-        since."""
+        """The position whose history was discarded or replaced; None once a snapshot has been read."""
 
         self.dropped = 0
         """Updates that were rejected."""
--- a/bayglade/intake.py
+++ b/bayglade/intake.py
@@ -30,8 +30,7 @@
 """Seconds for which a call waits for other daemons to confirm the settings; confirmation takes a fraction
 of that when they are running."""
 RETRY_ELSEWHERE_SECONDS = 0.03
-"""Retry-After in seconds where another daemon can answer at once; a client's retry then reaches another
-one."""
+"""Retry-After in seconds where another daemon can answer at once; the retry then reaches another one."""
 
 
 class Intake:
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -62,8 +62,7 @@
 CHECK_INTERVAL = 0.5
 """Interval of the check for silent daemons, in seconds; heartbeats are sent every second."""
 GONE_AFTER_SECONDS = 20.0
-"""A gateway that has been silent for this many seconds is marked as gone in the roster; a restart takes a
-few."""
+"""Silence after which a gateway is marked as gone in the roster; restarts take a few seconds."""
 GONE_CHECK_INTERVAL = 5.0
 """Interval of the check for such gateways, in seconds."""
 STOP_REWRITE_SECONDS = 3.0
--- a/bayglade/readers.py
+++ b/bayglade/readers.py
@@ -25,11 +25,9 @@
 """How many daemons may be passed over because the store does not answer them. If more report that, the
 store itself is considered unavailable: otherwise every daemon in turn would become a reader and call it."""
 LOST_AFTER_SECONDS = 1.8
-"""A daemon that has been silent for this many seconds is no longer polled; heartbeats arrive every
-second."""
+"""A daemon that has been silent for this long is no longer polled; heartbeats arrive every second."""
 LOST_EXPIRY_SECONDS = 15.0
-"""A silent daemon becomes eligible again after this time: it may not know that others expect messages from
-it."""
+"""A silent daemon becomes eligible again after this time, as it may not know that others wait for it."""
 RANK_DIGEST_BYTES = 8
 
 
