--- a/bayglade/epochs.py
+++ b/bayglade/epochs.py
@@ -65,7 +65,7 @@
         self.history = history
 
     def __repr__(self) -> str:
-        return f"<GuardedTable {self.table!r}>"
+        return f"<EpochGuardedTable {self.table!r}>"
 
     def snapshot(self, table: str) -> Changes:
         """Read a snapshot of a table; see :class:`bayglade.rows.ChangeFeed`."""
