--- a/bayglade/entries/ring.py
+++ b/bayglade/entries/ring.py
@@ -1,8 +1,8 @@
-"""The ring: with which neighbours a daemon of a large site exchanges heartbeats, and their size."""
+"""The ring: the neighbours with which a daemon exchanges heartbeats, and the byte budget for them."""
 
 from bayglade.ids import MemberId
 
-FULL_MESH = 16
+FULL_MESH_LIMIT = 16
 """Up to this many daemons, all of them exchange heartbeats with each other."""
 HEARTBEAT_INTERVAL = 1.0
 """Seconds between heartbeats."""
@@ -20,7 +20,7 @@
     :return: all others in a small site; beyond that, those at powers of two on the ring.
     """
     others = set(members) - {me}
-    if len(members) <= FULL_MESH:
+    if len(members) <= FULL_MESH_LIMIT:
         return others
     place, size = members.index(me), len(members)
     chosen: set[MemberId] = set()
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -18,7 +18,7 @@
 from bayglade.config import GatewayConfig, parse_address
 from bayglade.entries import wire
 from bayglade.entries.membership import Membership
-from bayglade.entries.ring import FULL_MESH
+from bayglade.entries.ring import FULL_MESH_LIMIT
 from bayglade.entries.wire import Findings, ServerLoad
 from bayglade.epochs import StoreHistory
 from bayglade.exceptions import PlatformUnavailable
@@ -204,7 +204,7 @@
         if self.membership is None:
             return None
         hall = server.facts.hall
-        if len(self.ranking.ranked) > FULL_MESH:
+        if len(self.ranking.ranked) > FULL_MESH_LIMIT:
             readers = self.plan.hall_readers
             return choose_keeper(server.facts.key, readers.get(hall) or sum(readers.values(), ()))
         gone = self.lost_daemons.since.keys() | self.membership.stopping_members()
@@ -431,7 +431,7 @@
         if (plan.role, plan.sources) != (self.plan.role, self.plan.sources):
             event("INFO", "readers chosen", duty=plan.role.value, asks=plan.sources)
         self.plan = plan
-        mesh = len(self.ranking.ranked) <= FULL_MESH
+        mesh = len(self.ranking.ranked) <= FULL_MESH_LIMIT
         self.totals.assign(self.ranking.halls, {} if mesh else plan.hall_readers)
         self.pools.assign(self._pooled_retries())
         self.fanout.set_sources(plan.sources)
@@ -441,7 +441,7 @@
         """Keep streams to the gateways that this one polls, and to those that poll it."""
         assert self.membership is not None
         addresses = {name: row.address for name, row in self.roster.members.items()}
-        if len(self.ranking.ranked) <= FULL_MESH:
+        if len(self.ranking.ranked) <= FULL_MESH_LIMIT:
             self.membership.update_members(addresses)
             return
         wanted = needed_streams(self.config.member, self.ranking, self.plan)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -9,7 +9,12 @@
 from bayglade.clock import now
 from bayglade.config import Address
 from bayglade.entries import streams, wire
-from bayglade.entries.ring import FULL_MESH, HEARTBEAT_BYTES_PER_SECOND, neighbours, rows_per_heartbeat
+from bayglade.entries.ring import (
+    FULL_MESH_LIMIT,
+    HEARTBEAT_BYTES_PER_SECOND,
+    neighbours,
+    rows_per_heartbeat,
+)
 from bayglade.exceptions import PeerError
 from bayglade.ids import GroupPath, MemberId, Revision
 from bayglade.usage import Usage
@@ -105,12 +110,12 @@
         assert isinstance(acceptor.wait().error, PeerError)
 
 
-@pytest.mark.parametrize("count", [1, 2, FULL_MESH, FULL_MESH + 1, 64, 440])
+@pytest.mark.parametrize("count", [1, 2, FULL_MESH_LIMIT, FULL_MESH_LIMIT + 1, 64, 440])
 def test_neighbours_are_mutual_bounded_and_connect_all(count):
     names = [MemberId(f"d{n:03}") for n in range(count)]
     chosen = {name: neighbours(name, names) for name in names}
     assert all(name in chosen[other] for name in names for other in chosen[name])
-    assert max(map(len, chosen.values())) <= max(FULL_MESH - 1, 2 * count.bit_length())
+    assert max(map(len, chosen.values())) <= max(FULL_MESH_LIMIT - 1, 2 * count.bit_length())
     reached, frontier = {names[0]}, {names[0]}
     while frontier:
         frontier = {other for name in frontier for other in chosen[name]} - reached
