--- a/bayglade/beliefs.py
+++ b/bayglade/beliefs.py
@@ -39,7 +39,8 @@
     """Size of the KV cache entries of own requests, in tokens times layers."""
 
     rest_seconds: float | None
-    """Seconds for which it still accepts nothing from this daemon, as it announced; None if it does."""
+    """Seconds for which it still accepts nothing from this daemon, as it announced; None if it accepts
+    requests."""
 
     rate_limit: float | None
     """Requests a second that it accepts from all daemons together, as it announced."""
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -208,10 +208,10 @@
         after = self.position if self.is_current() else None
         is_snapshot = after is None
         if after is None:
-            changes = self._with_position(self.store.snapshot(self.table), self.history_gone_after)
+            changes = self._check_answer(self.store.snapshot(self.table), self.history_gone_after)
         else:
             wait = self._next_wait()
-            changes = self._with_position(self.store.changes(self.table, after, wait), after)
+            changes = self._check_answer(self.store.changes(self.table, after, wait), after)
             if was_restored(after, changes.position):
                 raise HistoryGone("the store was restored", step="read", peer="store")
         self.lost_at, self.failures, self.confirmed_at = 0.0, 0, called
@@ -256,7 +256,7 @@
         if after is not None and not self._is_contiguous(after, changes):
             self._count_dropped("gap", changes, after)
             return
-        if self._may_be_restored(changes, recovered_at) or self._stale(changes, self.history_gone_after):
+        if self._may_be_restored(changes, recovered_at) or self._is_stale(changes, self.history_gone_after):
             self._count_dropped("older", changes, after)
             return
         # Entries that expired during an outage are judged by when the store recovered.
@@ -300,8 +300,8 @@
         """Return whether the table is known as of the newest epoch of the store."""
         return self.position is not None and self.position.epoch >= self.history.epoch
 
-    def _with_position(self, changes: Changes, known: Position | None) -> Changes:
-        """Return an answer of the store with its epoch filled in.
+    def _check_answer(self, changes: Changes, known: Position | None) -> Changes:
+        """Validate an answer of the store, and fill in its epoch where the store names none.
 
         :param changes: the answer.
         :param known: the position of the local copy when the store was called.
@@ -316,12 +316,12 @@
             raise PlatformUnavailable(
                 "the answer is from an earlier epoch of the store", step="read", peer="store"
             )
-        if self._stale(changes, known):
+        if self._is_stale(changes, known):
             self._count_dropped("older", changes, None)
             raise PlatformUnavailable("the answer is older than the local copy", step="read", peer="store")
         return changes
 
-    def _stale(self, changes: Changes, known: Position | None) -> bool:
+    def _is_stale(self, changes: Changes, known: Position | None) -> bool:
         """Return whether changes lead behind a known position; versions only grow within an epoch.
 
         A store that does not name its epoch may have been restored instead, so it is never judged stale.
--- a/bayglade/peering.py
+++ b/bayglade/peering.py
@@ -265,7 +265,8 @@
             event("INFO", "roster not written", error=repr(error))
 
     def _sync_stop_rows(self) -> None:
-        """Keep the rows of quarantined requests in the store, and remove those that have expired."""
+        """Keep the rows of quarantined requests in the store, and remove those that were lifted or
+        expired."""
         quarantine = self.peers.quarantine
         for name, evidence in quarantine.unwritten():
             evidence.write_at = now() + STOP_REWRITE_SECONDS
--- a/bayglade/revisions.py
+++ b/bayglade/revisions.py
@@ -2,7 +2,7 @@
 
 Documents are kept in the object store under their digest. One transaction moves the head row from
 revision n to n+1 and adds the audit row. A daemon only applies a higher revision; a head that moved
-backwards is an error that is logged.
+backwards is logged and raises an error.
 """
 
 import time
