--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -159,7 +159,7 @@
         """All rows removed after this position are still remembered."""
 
         self.history_gone_after: Position | None = None
-        """The position whose history was discarded or replaced; None once a snapshot has been read."""
+        """The position after which the store's history was gone; None once a snapshot has been read."""
 
         self.dropped = 0
         """Updates that were rejected."""
