--- a/bayglade/claims.py
+++ b/bayglade/claims.py
@@ -312,5 +312,5 @@
 def _transaction(batch: list[_Operation]) -> rows.Transaction:
     return rows.Transaction(
         conditions=[rows.Condition(o.claim.key, o.expected_version) for o in batch],
-        writes=[rows.Write(o.claim.key, rows.raw(o.claim.row)) for o in batch],
+        writes=[rows.Write(o.claim.key, rows.encode_value(o.claim.row)) for o in batch],
     )
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -16,7 +16,7 @@
 from bayglade.disconnects import DisconnectWatcher
 from bayglade.engines import create_engines
 from bayglade.entries import Membership
-from bayglade.entries.membership import LOST_AFTER
+from bayglade.entries.membership import LIVE_TIMEOUT
 from bayglade.entries.wire import Heartbeat
 from bayglade.exceptions import BaygladeError
 from bayglade.ids import BackendId, MemberId
@@ -132,7 +132,7 @@
 
     def ready(self) -> bool:
         """Return whether the balancer should send callers to this daemon."""
-        return not self.membership.draining and self.trust.good()
+        return not self.membership.draining and self.trust.is_fresh()
 
     def application(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         """Serve one HTTP request (WSGI, PEP 3333)."""
@@ -185,7 +185,7 @@
     def _drain(self, server: eventlet.greenthread.GreenThread) -> None:
         """Fail readiness, stop accepting connections, then wait for requests in flight."""
         self.membership.draining = True
-        self.membership.beat()
+        self.membership.send_heartbeats()
         event("INFO", "stopping", in_flight=len(self.router.active_requests))
         eventlet.sleep(self.config.balancer_delay)
         server.kill()
@@ -212,7 +212,7 @@
         self.operators.directory = directory
         self.engines.forget({backend.address for backend in current.tree.backends.values()})
         self._update_leaving()
-        self.membership.changed(previous, current)
+        self.membership.announce_revision(previous, current)
         self.metrics.gauge("settings.revision", current.revision)
 
     def _poll_hosts(self) -> None:
@@ -244,7 +244,7 @@
     def _sync_hosts(self) -> None:
         hosts = self.platform.hosts()
         entries = {h.id: h.address for h in hosts if h.kind is HostKind.ENTRY}
-        self.membership.sync(entries)  # type: ignore[arg-type]
+        self.membership.update_members(entries)  # type: ignore[arg-type]
         leaving_hosts = {h.id for h in hosts if h.kind is HostKind.BACKEND and h.state is HostState.LEAVING}
         self.listed_leaving = {BackendId(host) for host in leaving_hosts}
         self._update_leaving()
@@ -268,12 +268,12 @@
         """Run placement, giving the orders that fall to this daemon; never returns."""
         while True:
             eventlet.sleep(PLACEMENT_INTERVAL * self.rng.uniform(0.8, 1.2))
-            if self.trust.good() and not self.membership.draining:
+            if self.trust.is_fresh() and not self.membership.draining:
                 self._log_platform_errors("placement", lambda: self.placer.run_once(self.router.tree))
 
     def _update_leaving(self) -> None:
         """Mark servers as leaving by the host list, other daemons' heartbeats and their own reports."""
-        cutoff = now() - LOST_AFTER
+        cutoff = now() - LIVE_TIMEOUT
         self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > cutoff}
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
         self.router.leaving = elsewhere
@@ -306,7 +306,7 @@
             self.metrics.gauge("loop.late_seconds", late)
             if late > LATE_TICK_SECONDS:
                 event("WARNING", "event loop is late", seconds=round(late, 3))
-            self.membership.watch()
+            self.membership.run_due()
             self._update_leaving()
             self.router.update_capacity_fraction(len(self.membership.live()) + 1)
             self.router.admission.reject_uncovered()
--- a/bayglade/division.py
+++ b/bayglade/division.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from bayglade.ids import GroupPath
-from bayglade.settings import path_of_parent
+from bayglade.settings import parent_path
 
 EVEN_FRACTION = 0.1
 """Fraction of the capacity divided evenly, for requests that the known demand doesn't predict."""
@@ -35,7 +35,7 @@
         path = leaf
         totals[path] = totals.get(path, 0.0) + demand
         while path:
-            parent = path_of_parent(path)
+            parent = parent_path(path)
             children.setdefault(parent, set()).add(path)
             totals[parent] = totals.get(parent, 0.0) + demand
             path = parent
--- a/bayglade/fanout.py
+++ b/bayglade/fanout.py
@@ -1,14 +1,13 @@
-"""Fan-out: what daemons tell each other of the platform's tables.
+"""Fan-out: how daemons relay the platform's tables to each other.
 
-A few daemons follow the store; the others ask these, or ask daemons that ask
-these (see :mod:`bayglade.readers`), and get what changed, when it changed. Each
-asks two, so that one that is lost or cut off from the store delays nobody. A
-daemon that hears too little reads the store itself.
+A few daemons follow the store. The others long-poll these, or poll daemons that do (see
+:mod:`bayglade.readers`), and receive changes as they happen. Each polls two daemons, so losing one,
+or its access to the store, delays nobody. A daemon that receives too little reads the store itself.
 
-How old an update is, is never taken from another daemon's clock: whoever answers
-tells how long the question lay there and how old its knowledge was when it
-answered, and the asker counts from when it asked. Over two steps the ages add up.
-Each table has an age of its own: that one is fresh says nothing of another.
+The age of an update never depends on another daemon's clock: the daemon that answers reports how
+long the poll was pending and how old its own copy was when it answered, and the daemon that polled
+counts from when it sent the poll. Over two hops the ages add up. Each table has an age of its own:
+that one is fresh says nothing about another.
 """
 
 import zlib
@@ -18,36 +17,36 @@
 import msgspec
 
 from bayglade.clock import now
-from bayglade.entries.wire import Message, Poll, TableUpdate, Unable, Updates
+from bayglade.entries.wire import Message, Poll, StoreUnreachable, TableUpdate, Updates
 from bayglade.exceptions import PeerError
-from bayglade.feeds import FIRST_PAUSE, MAX_PAUSE, NOWHERE, Feed
+from bayglade.feeds import INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, ORIGIN, Feed
 from bayglade.ids import MemberId
 from bayglade.rows import Changes, Position
 
-FOLLOWER_FIRST_PAUSE = 0.8
-FOLLOWER_PAUSE = 5.0
-"""First and longest time between the calls of a daemon that asks others to a store that fails: each
-is paid for, and its readers, who call more often, tell when the store is back."""
-ASK_AGAIN_SECONDS = 1.0
-"""A question is repeated after this time: the stream it went on may have broken."""
-LEAST_ASK_SECONDS = 0.1
-"""Least time between two questions to one reader: a daemon that cannot take in what it is told
-would be told again at once."""
-LEAST_TELL_PART = 0.3
-"""Part of the wait of a table's calls by which it must be surely newer to be told for that alone. A
-daemon that asks two readers hears of each table twice in a wait, and would pass on all of it."""
-GATHER_SECONDS = 0.03
-"""Time in which answers that bring nothing new gather before others are told how fresh the tables are:
-those for several tables come within milliseconds."""
-PACK_LEVEL = 1
-"""Level of compression: a document of 2,000 routes takes some milliseconds."""
-
-Push = Callable[[MemberId, Message], None]
+FOLLOWER_INITIAL_RETRY_DELAY = 0.8
+FOLLOWER_MAX_RETRY_DELAY = 5.0
+"""First and longest delay between calls to a failing store, for a daemon that polls others. Each call costs
+money, and the readers, which call more often, report when the store has recovered."""
+POLL_TIMEOUT = 1.0
+"""A poll without an answer is repeated after this time: the stream that carried it may have broken."""
+MIN_POLL_INTERVAL = 0.1
+"""Minimum time between two polls of one reader: a daemon that rejects an update would otherwise be sent it
+again at once."""
+MIN_FRESHER_FRACTION = 0.3
+"""Fraction of a table's wait by which a table must have become fresher to be relayed for that alone. A
+daemon that polls two readers hears about each table twice in a wait, and would relay all of it."""
+COALESCE_SECONDS = 0.03
+"""Seconds for which answers without changes are collected before others are told how fresh the tables are:
+those for several tables arrive within milliseconds of each other."""
+COMPRESSION_LEVEL = 1
+"""Compression level of zlib; a document of 2,000 routes takes some milliseconds."""
+
+Send = Callable[[MemberId, Message], None]
 """Sends a message to another daemon."""
 
 
-class Asked:
-    """A question of this daemon that is under way; the time is monotonic."""
+class SentPoll:
+    """A poll that this daemon has sent and that is unanswered; the time is monotonic."""
 
     __slots__ = ("at", "number")
 
@@ -56,11 +55,11 @@
         self.at = now()
 
     def __repr__(self) -> str:
-        return f"<Asked {self.number}>"
+        return f"<SentPoll {self.number}>"
 
 
-class Waiting:
-    """A question of another daemon that waits here for updates; the time is monotonic."""
+class PendingPoll:
+    """A poll of another daemon that is pending here until there are updates; the time is monotonic."""
 
     __slots__ = ("poll", "since")
 
@@ -69,223 +68,228 @@
         self.since = now()
 
     def __repr__(self) -> str:
-        return f"<Waiting {self.poll.number}>"
+        return f"<PendingPoll {self.poll.number}>"
 
 
 class Fanout:
-    """Updates of tables, as one daemon polls for them and passes them on.
+    """Polls other daemons for updates of tables and relays updates to those that poll this one.
 
     :param feeds: the tables, by name.
-    :param proof: the feed whose answers show that a reader reaches the store; of all feeds it
-        looks most often whether a lost store is back.
-    :param push: sends a message to another daemon.
-    :param address: where this daemon takes streams of others.
+    :param probe_feed: the feed whose answers show that this daemon reaches the store; of all feeds it
+        retries a failing store most often.
+    :param send: sends a message to another daemon.
+    :param address: where this daemon accepts streams of others.
     """
 
-    def __init__(self, feeds: Mapping[str, Feed], proof: Feed, push: Push, address: str) -> None:
+    def __init__(self, feeds: Mapping[str, Feed], probe_feed: Feed, send: Send, address: str) -> None:
         self.feeds = feeds
-        self.proof = proof
-        self.push = push
+        self.probe_feed = probe_feed
+        self.send = send
         self.address = address
-        self.asks: tuple[MemberId, ...] = ()
-        """The readers that this daemon asks; none when it follows the store."""
+        self.sources: tuple[MemberId, ...] = ()
+        """The daemons that this one polls; none when it follows the store."""
 
-        self.numbers = 0
-        self.asked: dict[MemberId, Asked] = {}
-        self.waiting: dict[MemberId, Waiting] = {}
-        self.told: dict[MemberId, dict[str, float]] = {}
-        """What each asker was told last: a time up to which each table was known, monotonic."""
+        self.last_poll_number = 0
+        self.sent_polls: dict[MemberId, SentPoll] = {}
+        self.pending_polls: dict[MemberId, PendingPoll] = {}
+        self.relayed_known_at: dict[MemberId, dict[str, float]] = {}
+        """By daemon that polled: for each table, the ``known_at`` of the last update sent to it."""
 
-        self.unable: set[MemberId] = set()
-        """Daemons that were asked and get no answer of the store themselves."""
+        self.peers_without_store: set[MemberId] = set()
+        """Daemons polled by this one that get no answer from the store themselves."""
 
-        self.telling = False
-        """Whether others are about to be told."""
-
-        self.packed: dict[tuple[str, Position | None], TableUpdate] = {}
-        """What was packed last, by table and the position asked from."""
+        self.relay_scheduled = False
+        self.encoded_updates: dict[tuple[str, Position | None], TableUpdate] = {}
+        """The encoded updates sent last, by table and the position they follow."""
 
         for feed in feeds.values():
-            feed.on_answer = self._tell_soon
-        self.proof.on_failing = self.refuse
+            feed.on_answer = self._relay_changes
+        self.probe_feed.on_failing = self.report_store_lost
 
     def __repr__(self) -> str:
-        return f"<Fanout asks={self.asks} {len(self.waiting)} waiting>"
+        return f"<Fanout sources={self.sources} {len(self.pending_polls)} pending>"
 
-    def assign(self, asks: tuple[MemberId, ...]) -> None:
-        """Take in whom to ask.
+    def set_sources(self, sources: tuple[MemberId, ...]) -> None:
+        """Set the daemons to poll.
 
-        :param asks: the daemons; none when this one follows the store.
+        :param sources: the daemons; none when this one follows the store.
         """
-        self.asks = asks
+        self.sources = sources
         for feed in self.feeds.values():
-            feed.rest(bool(asks))
-            feed.first_pause = FOLLOWER_FIRST_PAUSE if asks else FIRST_PAUSE
-            feed.max_pause = FOLLOWER_PAUSE if asks else MAX_PAUSE
+            feed.rely_on_relays(bool(sources))
+            feed.initial_retry_delay = FOLLOWER_INITIAL_RETRY_DELAY if sources else INITIAL_RETRY_DELAY
+            feed.max_retry_delay = FOLLOWER_MAX_RETRY_DELAY if sources else MAX_RETRY_DELAY
 
-    def watch(self) -> None:
-        """Ask readers that were not asked, or did not answer for long; called often."""
+    def poll_sources(self) -> None:
+        """Poll sources that were not polled yet or have not answered for long; called often."""
         at = now()
-        for reader in self.asks:
-            asked = self.asked.get(reader)
-            if asked is None or at - asked.at >= ASK_AGAIN_SECONDS:
-                self._ask(reader)
-
-    def tell(self) -> None:
-        """Answer the questions that wait here, as far as there is something to tell."""
-        for member in list(self.waiting):
-            if self._news(member):
+        for source in self.sources:
+            sent = self.sent_polls.get(source)
+            if sent is None or at - sent.at >= POLL_TIMEOUT:
+                self._send_poll(source)
+
+    def relay(self) -> None:
+        """Answer pending polls for which there is news."""
+        for member in list(self.pending_polls):
+            if self._has_news(member):
                 self._answer(member)
 
-    def _tell_soon(self) -> None:
-        """Tell at once what changed, and a moment later what is only fresher."""
-        for member in list(self.waiting):
-            if self._changed(member):
+    def _relay_changes(self) -> None:
+        """Relay changes at once, and after a short delay tables that are merely fresher."""
+        for member in list(self.pending_polls):
+            if self._has_changes(member):
                 self._answer(member)
-        if not self.telling:
-            self.telling = True
-            eventlet.spawn_after(GATHER_SECONDS, self._tell_gathered)
+        if not self.relay_scheduled:
+            self.relay_scheduled = True
+            eventlet.spawn_after(COALESCE_SECONDS, self._relay_coalesced)
 
-    def _tell_gathered(self) -> None:
-        self.telling = False
-        self.tell()
+    def _relay_coalesced(self) -> None:
+        self.relay_scheduled = False
+        self.relay()
 
-    def refuse(self) -> None:
-        """Tell all who wait here that the store does not answer."""
-        for member, waiting in self.waiting.items():
-            self.push(member, Unable(waiting.poll.number))
+    def report_store_lost(self) -> None:
+        """Tell all daemons with a pending poll that the store does not answer."""
+        for member, pending in self.pending_polls.items():
+            self.send(member, StoreUnreachable(pending.poll.number))
 
-    def heard_poll(self, member: MemberId, poll: Poll) -> None:
-        """Take in a question; it waits until there is something to tell.
+    def receive_poll(self, member: MemberId, poll: Poll) -> None:
+        """Register a poll; it is answered once there is news.
 
-        :param member: who asks.
-        :param poll: the question.
+        :param member: the daemon that polls.
+        :param poll: the poll.
         """
-        self.waiting[member] = Waiting(poll)
+        self.pending_polls[member] = PendingPoll(poll)
         for position in poll.have.values():
-            self.proof.history.note(position.epoch)
-        if self.proof.lost_at:
-            self.push(member, Unable(poll.number))
-        if self._news(member):
+            self.probe_feed.history.observe(position.epoch)
+        if self.probe_feed.lost_at:
+            self.send(member, StoreUnreachable(poll.number))
+        if self._has_news(member):
             self._answer(member)
 
-    def heard_unable(self, member: MemberId, message: Unable) -> None:
-        """Take in that a daemon gets no answer of the store; it answers once it does."""
-        if member in self.asked:
-            self.unable.add(member)
+    def receive_store_unreachable(self, member: MemberId, message: StoreUnreachable) -> None:
+        """Record that a daemon gets no answer from the store; it answers the poll once it has news."""
+        if member in self.sent_polls:
+            self.peers_without_store.add(member)
 
-    def heard_updates(self, member: MemberId, updates: Updates) -> None:
-        """Take in an answer, ask again, and pass on what is new.
+    def receive_updates(self, member: MemberId, updates: Updates) -> None:
+        """Apply an answer to a poll, poll again, and relay what is new.
 
-        :param member: the reader.
-        :param updates: what it tells.
+        :param member: the daemon that answered.
+        :param updates: the answer.
         """
-        if updates.turned_away:
-            self.unable.add(member)
+        if updates.store_unreachable:
+            self.peers_without_store.add(member)
         else:
-            self.unable.discard(member)
-        asked = self.asked.get(member)
-        if asked is None or asked.number != updates.number:
-            # The answer to an earlier question: how old it is, is not known.
+            self.peers_without_store.discard(member)
+        sent = self.sent_polls.get(member)
+        if sent is None or sent.number != updates.number:
+            # This answers an earlier poll, so its age is unknown.
             return
-        answered = asked.at + updates.waited
+        answered = sent.at + updates.waited
         for name, table in updates.tables.items():
             feed = self.feeds.get(name)
             if feed is not None:
-                changes = Changes(unpack(table.rows), table.position.version, table.position.epoch)
+                changes = Changes(decode_rows(table.rows), table.position.version, table.position.epoch)
                 recovered = 0.0 if table.recovered_age is None else answered - table.recovered_age
-                feed.hear(changes, table.after, answered - table.age, recovered)
-        if member not in self.asks or now() - asked.at < LEAST_ASK_SECONDS:
-            # The next watch asks, if it is still one of those to be asked. The update may just have
-            # told that this daemon is gone.
-            self.asked.pop(member, None)
+                feed.receive(changes, table.after, answered - table.age, recovered)
+        if member not in self.sources or now() - sent.at < MIN_POLL_INTERVAL:
+            # The next periodic check polls it if it is still a source; this update may just have shown that
+            # the daemon is gone.
+            self.sent_polls.pop(member, None)
         else:
-            self._ask(member)
-        self.tell()
+            self._send_poll(member)
+        self.relay()
 
     def without_store(self, me: MemberId) -> set[MemberId]:
-        """Return the daemons that get no answer of the store, as far as known here.
+        """Return the daemons that get no answer from the store, as far as known here.
 
-        :param me: this daemon; one of them when its own call failed lately.
+        :param me: this daemon; included if its own call failed recently.
         """
-        return self.unable | {me} if self.proof.turned_away() else self.unable
+        return (
+            self.peers_without_store | {me}
+            if self.probe_feed.failed_recently()
+            else self.peers_without_store
+        )
 
     def forget(self, members: Container[MemberId]) -> None:
-        """Drop what is known of daemons that are gone.
+        """Drop the state of daemons that are gone.
 
-        :param members: those that there are.
+        :param members: the daemons in the roster.
         """
-        for known in (self.asked, self.waiting, self.told):
+        for known in (self.sent_polls, self.pending_polls, self.relayed_known_at):
             for member in [member for member in known if member not in members]:
                 del known[member]
-        self.unable = {member for member in self.unable if member in members}
+        self.peers_without_store = {member for member in self.peers_without_store if member in members}
 
-    def _ask(self, reader: MemberId) -> None:
-        self.numbers += 1
-        self.asked[reader] = Asked(self.numbers)
+    def _send_poll(self, source: MemberId) -> None:
+        self.last_poll_number += 1
+        self.sent_polls[source] = SentPoll(self.last_poll_number)
         have = {name: feed.position for name, feed in self.feeds.items() if feed.position is not None}
-        self.push(reader, Poll(self.numbers, have, self.address))
+        self.send(source, Poll(self.last_poll_number, have, self.address))
 
-    def _known(self) -> dict[str, Feed]:
-        """Return the tables of which there is something to tell. One that the store does not answer for
-        holds up no other: its askers read the store themselves, for that table, after a while."""
+    def _relayable(self) -> dict[str, Feed]:
+        """Return the tables that can be relayed.
+
+        One whose store calls fail doesn't hold up the others: the daemons that poll for it read it from the
+        store themselves after a while.
+        """
         feeds = self.feeds.items()
-        return {name: feed for name, feed in feeds if feed.failing_since is None and feed.current()}
-
-    def _changed(self, member: MemberId) -> bool:
-        """Tell whether a table is newer here than whoever waits has it."""
-        have = self.waiting[member].poll.have
-        known = self._known().items()
-        return any((feed.position or NOWHERE) > have.get(name, NOWHERE) for name, feed in known)
-
-    def _news(self, member: MemberId) -> bool:
-        """Tell whether a table is newer here than whoever waits has it, or was surely the newest later."""
-        told = self.told.get(member, {})
-        return self._changed(member) or any(
-            feed.known_at - told.get(name, 0.0) >= LEAST_TELL_PART * feed.wait
-            for name, feed in self._known().items()
+        return {name: feed for name, feed in feeds if feed.failing_since is None and feed.is_current()}
+
+    def _has_changes(self, member: MemberId) -> bool:
+        """Return whether a table is newer here than in the copy of the daemon that polls."""
+        have = self.pending_polls[member].poll.have
+        relayable = self._relayable().items()
+        return any((feed.position or ORIGIN) > have.get(name, ORIGIN) for name, feed in relayable)
+
+    def _has_news(self, member: MemberId) -> bool:
+        """Return whether a table is newer or notably fresher here than for the daemon that polls."""
+        relayed = self.relayed_known_at.get(member, {})
+        return self._has_changes(member) or any(
+            feed.known_at - relayed.get(name, 0.0) >= MIN_FRESHER_FRACTION * feed.wait
+            for name, feed in self._relayable().items()
         )
 
     def _answer(self, member: MemberId) -> None:
-        waiting, known = self.waiting.pop(member), self._known()
-        self.told[member] = {name: feed.known_at for name, feed in known.items()}
-        have = waiting.poll.have
-        tables = {name: self._table(name, feed, have.get(name)) for name, feed in known.items()}
-        waited, turned_away = now() - waiting.since, self.proof.lost_at > 0
-        self.push(member, Updates(waiting.poll.number, waited, tables, turned_away))
-
-    def _table(self, name: str, feed: Feed, have: Position | None) -> TableUpdate:
-        """Return the update of one table; packed once for all that ask from one position."""
-        packed = self.packed.get((name, have))
-        if packed is None or packed.position != feed.position:
-            changes, whole = feed.since(have)
-            packed = TableUpdate(None if whole else have, changes.position, 0.0, pack(changes.rows))
-            if len(self.packed) > len(self.feeds) * 8:
-                self.packed.clear()
-            self.packed[name, have] = packed
+        pending, relayable = self.pending_polls.pop(member), self._relayable()
+        self.relayed_known_at[member] = {name: feed.known_at for name, feed in relayable.items()}
+        have = pending.poll.have
+        tables = {name: self._table_update(name, feed, have.get(name)) for name, feed in relayable.items()}
+        waited, store_unreachable = now() - pending.since, self.probe_feed.lost_at > 0
+        self.send(member, Updates(pending.poll.number, waited, tables, store_unreachable))
+
+    def _table_update(self, name: str, feed: Feed, have: Position | None) -> TableUpdate:
+        """Return the update of one table; encoded once for all polls from the same position."""
+        update = self.encoded_updates.get((name, have))
+        if update is None or update.position != feed.position:
+            changes, whole = feed.changes_since(have)
+            update = TableUpdate(None if whole else have, changes.position, 0.0, encode_rows(changes.rows))
+            if len(self.encoded_updates) > len(self.feeds) * 8:
+                self.encoded_updates.clear()
+            self.encoded_updates[name, have] = update
         recovered = now() - feed.recovered_at if feed.recovered_at else None
-        return msgspec.structs.replace(packed, age=feed.age(), recovered_age=recovered)
+        return msgspec.structs.replace(update, age=feed.age(), recovered_age=recovered)
 
 
-def pack(rows: Mapping[str, msgspec.Raw | None]) -> bytes:
-    """Pack rows for another daemon; nothing packs to nothing."""
+def encode_rows(rows: Mapping[str, msgspec.Raw | None]) -> bytes:
+    """Encode rows for another daemon; an empty mapping gives no bytes."""
     if not rows:
         return b""
     plain = {key: None if value is None else bytes(value) for key, value in rows.items()}
-    return zlib.compress(msgspec.msgpack.encode(plain), PACK_LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(plain), COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes) -> dict[str, msgspec.Raw | None]:
-    """Unpack rows.
+def decode_rows(data: bytes) -> dict[str, msgspec.Raw | None]:
+    """Decode rows.
 
-    :param data: what another daemon packed.
+    :param data: rows encoded by another daemon.
     :return: rows by key.
-    :raises PeerError: when it makes no sense.
+    :raises PeerError: when the data is malformed.
     """
     if not data:
         return {}
     try:
         plain = msgspec.msgpack.decode(zlib.decompress(data), type=dict[str, bytes | None])
     except (zlib.error, msgspec.DecodeError) as error:
-        raise PeerError(f"an update makes no sense: {error}", step="update") from error
+        raise PeerError(f"malformed table update: {error}", step="update") from error
     return {key: None if value is None else msgspec.Raw(value) for key, value in plain.items()}
--- a/bayglade/feeds.py
+++ b/bayglade/feeds.py
@@ -1,14 +1,13 @@
-"""Feeds: follow a table of the platform, and know how old the knowledge is.
+"""Feeds: follow a table of the platform's store by long polling, and track how current the copy is.
 
-A feed reads the table whole, then waits for changes. It starts anew when the
-history it needs is gone, or the store was restored from an older copy: changes are
-ordered by position, which is the version in an epoch of the store. ``known_at`` is a
-time before which everything that was acknowledged is known here: the time just before
-the last answered call was sent, or, when its whole wait passed without a change, the
-end of that wait.
+A feed reads a snapshot of the table and then waits for changes. It reads the snapshot again when
+the history it needs has been discarded, or when the store was restored from a backup. Changes are
+ordered by position: an epoch of the store and a version within it. ``known_at`` is a time such that
+every write acknowledged before it is known here: the time just before the last answered call was
+sent or, if that call waited its full time without a change, the end of that wait.
 
-While another daemon tells of the table (see :mod:`bayglade.fanout`) and what it
-tells is fresh, a feed makes no calls of its own.
+While another daemon relays the table (see :mod:`bayglade.fanout`) and what it relays is fresh, a
+feed makes no calls of its own.
 """
 
 import random
@@ -22,59 +21,60 @@
 from bayglade.clock import now
 from bayglade.epochs import StoreHistory
 from bayglade.exceptions import HistoryGone, PlatformUnavailable
-from bayglade.freshness import rest_after
+from bayglade.freshness import relay_validity
 from bayglade.ids import UNKNOWN_EPOCH
 from bayglade.logs import event, rate_limited
 from bayglade.rows import ChangeFeed, Changes, Position, was_restored
 
-FIRST_PAUSE = 0.05
-MAX_PAUSE = 0.4
-"""Seconds between calls that fail: short against the bounds on updates, long for a store in trouble."""
+INITIAL_RETRY_DELAY = 0.05
+MAX_RETRY_DELAY = 0.4
+"""Seconds between failing calls: short against the bounds on updates, long for a degraded store."""
 
-OTHERS_PAUSE = 4.0
-OTHERS_MAX_PAUSE = 10.0
-"""The same while another feed, which looks more often, finds the store lost too."""
+SECONDARY_RETRY_DELAY = 4.0
+MAX_SECONDARY_RETRY_DELAY = 10.0
+"""The same while the probe feed, which retries more often, finds the store unavailable too."""
 
-PAUSE_SPREAD = 0.3
-"""Part by which these pauses vary: daemons that lost the store together must not call it together."""
+RETRY_JITTER = 0.3
+"""Fraction by which these delays vary, so that daemons that lost the store together don't retry
+together."""
 
-TURNED_AWAY_SECONDS = 4.0
-"""For how long after a failed call a daemon leaves it to others to read the store, if they can."""
+RECENT_FAILURE_SECONDS = 4.0
+"""Seconds after a failed call during which a daemon leaves reading the store to others, if they can."""
 
-START_REST = 1.0
-"""Seconds after the first reading of a table in which another daemon may begin to tell of it. Without
-this, daemons that start together all follow the table until they have found each other."""
+SNAPSHOT_REST_SECONDS = 1.0
+"""Seconds after a snapshot during which another daemon may begin to relay the table. Without this, daemons
+that start together would all follow the table until they have found each other."""
 
-OLDEST_OF_WAIT = 1.3
-"""Age that knowledge reaches at most while the store answers, in waits: after a change that
-came late in its wait the next call waits for less."""
-LEAST_WAIT = 0.1
+MAX_AGE_IN_WAITS = 1.3
+"""Highest age of a table while the store answers, in multiples of the wait: after a change that arrived
+late in its wait, the next call waits for a shorter time."""
+MIN_WAIT = 0.1
 
-DROPPED_LINES_PER_SECOND = 2.0
-"""Log lines a second on updates that are not taken in: a daemon that is behind is told again and again."""
+DROPPED_LOGS_PER_SECOND = 2.0
+"""Limit on log lines about rejected updates: a daemon that lags receives the same ones repeatedly."""
 
-MAX_REMOVED = 1000
-"""Removed rows that are remembered, so that others can be told of them."""
+MAX_REMOVED_ROWS = 1000
+"""Removed rows that are kept, so that other daemons can be told of the removal."""
 
-NOWHERE = Position(UNKNOWN_EPOCH, 0)
-"""Before all that a store ever told."""
+ORIGIN = Position(UNKNOWN_EPOCH, 0)
+"""The position before all changes."""
 
 Rows = dict[str, msgspec.Raw | None]
-"""Rows by key; nothing for one that was removed."""
+"""Rows by key; None for a removed row."""
 
 Apply = Callable[[Changes, bool], None]
-"""Takes changes in; the flag tells that they are the whole table."""
+"""Applies changes; the flag says whether they are a snapshot of the whole table."""
 
 
 class Feed:
-    """One table as followed by one daemon; times are monotonic seconds.
+    """The copy of one table that a daemon keeps; times are monotonic seconds.
 
-    :param store: whoever tells of changes.
+    :param store: where changes are read.
     :param table: the table's name.
-    :param wait: seconds a call may wait for a change; bounds the age of what is known.
-    :param apply: takes changes in.
-    :param pause: seconds after changes in which more of them gather for one call.
-    :param history: the newest epoch of the store; one of its own when left out.
+    :param wait: seconds a call may wait for a change; bounds the age of the copy.
+    :param apply: applies changes.
+    :param batch_delay: seconds to sleep after changes, so that one call returns several of them.
+    :param history: the newest known epoch of the store, shared between feeds; a new one if left out.
     """
 
     def __init__(
@@ -83,85 +83,88 @@
         table: str,
         wait: float,
         apply: Apply,
-        pause: float = 0.0,
+        batch_delay: float = 0.0,
         history: StoreHistory | None = None,
     ) -> None:
         self.store = store
         self.table = table
         self.wait = wait
         self.apply = apply
-        self.pause = pause
+        self.batch_delay = batch_delay
         self.history = history if history is not None else StoreHistory()
         self.history.on_restored.append(self._store_restored)
         self.position: Position | None = None
-        """Up to where the table is known; nothing when it has to be read whole."""
+        """Position of the local copy; None when a snapshot is needed."""
 
         self.confirmed_at = 0.0
         """When the position was last known to be in the store's history."""
 
         self.known_at = 0.0
-        self.quiet = False
-        """Whether the last own call waited to its end without a change."""
+        """Every write acknowledged before this time is in the local copy."""
 
-        self.asked_at = 0.0
+        self.idle = False
+        """Whether the last own call waited its full time without a change."""
+
+        self.called_at = 0.0
         """When the last own call was sent."""
 
         self.failing_since: float | None = None
         self.lost_at = 0.0
-        """When an own call of the store failed last, unless one was answered since."""
+        """When an own call to the store last failed; 0 once one has been answered."""
 
         self.recovered_at = 0.0
-        """When the store was back after it was last lost here."""
+        """When the store last recovered from an outage that this feed noticed or was told of."""
 
-        self.scout: Feed | None = None
-        """The feed that looks most often whether a lost store is back; nothing when it is this one."""
+        self.probe_feed: Feed | None = None
+        """The feed that retries a failing store most often; None when it is this one."""
 
         self.on_lost: Callable[[], None] | None = None
-        """Told when the store stops answering here."""
+        """Called when the store stops answering here."""
 
         self.on_answer: Callable[[], None] | None = None
-        """Told after each answer of the store."""
+        """Called after each answer of the store."""
 
         self.on_failing: Callable[[], None] | None = None
-        """Told as well when the store stops answering here."""
+        """A second callback for when the store stops answering here."""
 
-        self.rest_seconds = 0.0
-        """For how long what another daemon told is fresh enough to make no call; 0 for never."""
+        self.relay_valid_seconds = 0.0
+        """Seconds for which relayed updates count as fresh enough to make no call; 0 for never."""
 
-        self.rests_until = 0.0
-        """No call is made before this time, whatever was told."""
+        self.no_call_before = 0.0
+        """No call is made before this time, whatever was relayed."""
 
-        self.first_pause = FIRST_PAUSE
-        """Time before the first call after one that failed, in seconds; doubled up to the longest."""
+        self.initial_retry_delay = INITIAL_RETRY_DELAY
+        """Delay after the first failed call, in seconds; doubled with each further failure up to the
+        longest."""
 
-        self.max_pause = MAX_PAUSE
-        """Longest time between calls that fail, in seconds."""
+        self.max_retry_delay = MAX_RETRY_DELAY
+        """Longest delay between failing calls, in seconds."""
 
         self.failures = 0
-        """Calls in a row that failed."""
+        """Consecutive calls that failed."""
 
-        self.on_regained: Callable[[], None] | None = None
-        """Told when the store answers here again."""
+        self.on_recovered: Callable[[], None] | None = None
+        """Called when the store answers here again."""
 
-        self.back = Event()
-        """Sent when it is worth looking at once whether to call the store."""
+        self.wake_event = Event()
+        """Interrupts a delay: there is a reason to reconsider at once whether to call the store."""
 
-        self.told_at = 0.0
-        """A time up to which what another daemon told of the table was surely the newest."""
+        self.relayed_known_at = 0.0
+        """Every write acknowledged before this time is in what another daemon relayed."""
 
         self.rows: dict[str, tuple[Position, msgspec.Raw | None]] = {}
-        """The table as known here, rows that were removed among them, by the position they came with."""
+        """The local copy with the position that each row came with; removed rows are included."""
 
-        self.complete_from = NOWHERE
-        """The position from which on all rows that were removed are remembered."""
+        self.removals_known_from = ORIGIN
+        """All rows removed after this position are still remembered."""
 
-        self.gone_after: Position | None = None
-        """The position after which the history was gone, until the table has been read anew."""
+        self.history_gone_after: Position | None = None
+        """The position after which the store's history was gone; None once a snapshot has been read."""
 
         self.dropped = 0
-        """Updates that were not taken in."""
+        """Updates that were rejected."""
 
-        self.tell_dropped = rate_limited(DROPPED_LINES_PER_SECOND)
+        self.log_dropped = rate_limited(DROPPED_LOGS_PER_SECOND)
         self.rng = random.Random()
         self.task: eventlet.greenthread.GreenThread | None = None
 
@@ -169,203 +172,205 @@
         return f"<Feed {self.table} position={self.position} age={self.age():.1f}>"
 
     def age(self) -> float:
-        """Return the seconds since what is known here was surely the newest."""
+        """Return the seconds since the local copy was known to be current."""
         return now() - self.known_at
 
     def start(self) -> None:
-        """Follow the table in a task of its own; a task that runs already is replaced."""
+        """Follow the table in a task of its own; a task that is already running is replaced."""
         if self.task is not None:
             self.task.kill()
         self.task = eventlet.spawn(self.run)
 
     def interrupt(self) -> None:
-        """Start the present call anew: another feed found the store lost, and nobody tells of it."""
-        if self.failing_since is None and self.task is not None and self._rest_left() <= 0:
+        """Restart the current call because another feed lost the store, unless the table is relayed."""
+        if self.failing_since is None and self.task is not None and self._seconds_to_call() <= 0:
             self.failing_since = now()
             self.start()
 
     def run(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table forever."""
         while True:
-            if (rest := self._rest_left()) > 0:
-                self._wait(rest)
+            if (seconds := self._seconds_to_call()) > 0:
+                self._wait_for_wake(seconds)
                 continue
             try:
-                self._step()
+                self._poll()
             except HistoryGone:
                 event("WARNING", "history gone", table=self.table, position=self.position)
-                self.gone_after, self.position = self.position, None
+                self.history_gone_after, self.position = self.position, None
             except PlatformUnavailable as error:
-                self._failed(error)
-                self._pause()
-
-    def _step(self) -> None:
-        asked, wait = now(), 0.0
-        self.asked_at = asked
-        after = self.position if self.current() else None
-        whole = after is None
+                self._record_failure(error)
+                self._back_off()
+
+    def _poll(self) -> None:
+        called, wait = now(), 0.0
+        self.called_at = called
+        after = self.position if self.is_current() else None
+        is_snapshot = after is None
         if after is None:
-            changes = self._positioned(self.store.snapshot(self.table), self.gone_after)
+            changes = self._check_answer(self.store.snapshot(self.table), self.history_gone_after)
         else:
             wait = self._next_wait()
-            changes = self._positioned(self.store.changes(self.table, after, wait), after)
+            changes = self._check_answer(self.store.changes(self.table, after, wait), after)
             if was_restored(after, changes.position):
                 raise HistoryGone("the store was restored", step="read", peer="store")
-        self.lost_at, self.failures, self.confirmed_at = 0.0, 0, asked
+        self.lost_at, self.failures, self.confirmed_at = 0.0, 0, called
         if self.failing_since is not None:
             event("INFO", "store regained", table=self.table, out=round(now() - self.failing_since, 2))
-            self.recovered_at = self._store_returned(self.failing_since)
+            self.recovered_at = self._recovery_time(self.failing_since)
             self.failing_since = None
-            if self.on_regained is not None:
-                self.on_regained()
-        self.quiet = not whole and not changes.rows and now() - asked >= wait
-        self.known_at = max(self.known_at, asked + wait if self.quiet else asked)
-        if whole:
-            self.rests_until = now() + START_REST if self.rest_seconds else 0.0
-        taken = self._take(changes, whole)
+            if self.on_recovered is not None:
+                self.on_recovered()
+        self.idle = not is_snapshot and not changes.rows and now() - called >= wait
+        self.known_at = max(self.known_at, called + wait if self.idle else called)
+        if is_snapshot:
+            self.no_call_before = now() + SNAPSHOT_REST_SECONDS if self.relay_valid_seconds else 0.0
+        applied = self._apply_changes(changes, is_snapshot)
         if self.on_answer is not None:
             self.on_answer()
-        if taken:
-            eventlet.sleep(self.pause)
+        if applied:
+            eventlet.sleep(self.batch_delay)
 
-    def hear(
+    def receive(
         self,
         changes: Changes,
         after: Position | None,
         known_at: float,
         recovered_at: float = 0.0,
     ) -> None:
-        """Take in what another daemon knows of the table.
+        """Apply what another daemon relays of the table.
 
-        What tells of a history that is over, or leaves something out, makes nothing fresher. What is
-        known here already does: a table that was read later is known at a later version, though
-        nothing in it has changed.
+        An update from a superseded epoch, or with a gap before it, doesn't make the local copy any fresher.
+        One at an earlier position than the local copy does: a snapshot taken later has a later version even
+        if no row has changed.
 
-        :param changes: rows that changed, as of the other's position.
-        :param after: the position they changed after; nothing when it is the whole table.
-        :param known_at: a time before which everything acknowledged is in it.
-        :param recovered_at: when the store was back for whoever read it, if it was lost.
+        :param changes: rows that changed, as of the sender's position.
+        :param after: the position they changed after; None when they are a snapshot.
+        :param known_at: a time such that they include every write acknowledged before it.
+        :param recovered_at: when the store recovered for the daemon that read them, if it had been lost.
         """
-        self.history.note(changes.epoch)
+        self.history.observe(changes.epoch)
         if changes.epoch < self.history.epoch:
-            self._dropped("earlier epoch", changes, after)
+            self._count_dropped("earlier epoch", changes, after)
             return
-        if after is not None and not self._follows(after, changes):
-            self._dropped("gap", changes, after)
+        if after is not None and not self._is_contiguous(after, changes):
+            self._count_dropped("gap", changes, after)
             return
-        if self._may_be_restored(changes, recovered_at) or self._stale(changes, self.gone_after):
-            self._dropped("older", changes, after)
+        if self._may_be_restored(changes, recovered_at) or self._is_stale(changes, self.history_gone_after):
+            self._count_dropped("older", changes, after)
             return
-        # Entries that lapsed in an outage are judged by when the store came back.
+        # Entries that expired during an outage are judged by when the store recovered.
         self.recovered_at = max(self.recovered_at, recovered_at)
         if self.failing_since is not None:
             event("INFO", "store told of", table=self.table, out=round(now() - self.failing_since, 2))
             self.failing_since = None
-            # A pause after a call that failed may last longer than the word of others is enough.
-            self.ask_now()
+            # A retry delay after a failed call may last longer than relayed updates count as fresh.
+            self.wake()
         self.known_at = max(self.known_at, known_at)
-        self.told_at = max(self.told_at, known_at)
-        self._take(changes, after is None)
+        self.relayed_known_at = max(self.relayed_known_at, known_at)
+        self._apply_changes(changes, after is None)
 
-    def rest(self, told: bool) -> None:
-        """Set whether what other daemons tell is enough, for as long as the table's bound allows.
+    def rely_on_relays(self, relayed: bool) -> None:
+        """Set whether to rely on updates that other daemons relay, for as long as the bound allows.
 
-        :param told: whether others tell; else the store is followed.
+        :param relayed: whether others relay the table; if not, the feed follows the store.
         """
-        seconds = rest_after(self.wait) if told else 0.0
-        if seconds == self.rest_seconds:
+        seconds = relay_validity(self.wait) if relayed else 0.0
+        if seconds == self.relay_valid_seconds:
             return
-        self.rest_seconds = seconds
+        self.relay_valid_seconds = seconds
         if not seconds:
-            self.rests_until = 0.0
-            self.ask_now()
+            self.no_call_before = 0.0
+            self.wake()
 
-    def since(self, after: Position | None) -> tuple[Changes, bool]:
-        """Return what changed after a position, or the whole table where that is not known.
+    def changes_since(self, after: Position | None) -> tuple[Changes, bool]:
+        """Return the changes after a position, or a snapshot where they are not known.
 
-        :param after: the position; nothing for the whole table.
-        :return: rows, and whether they are the whole table.
+        :param after: the position; None for a snapshot.
+        :return: the rows, and whether they are a snapshot.
         """
-        position = self.position or NOWHERE
-        if after is not None and after.epoch == position.epoch and after >= self.complete_from:
+        position = self.position or ORIGIN
+        if after is not None and after.epoch == position.epoch and after >= self.removals_known_from:
             changed: Rows = {key: value for key, (at, value) in self.rows.items() if at > after}
             return Changes(changed, position.version, position.epoch), False
-        whole: Rows = {key: value for key, (_, value) in self.rows.items() if value is not None}
-        return Changes(whole, position.version, position.epoch), True
+        snapshot: Rows = {key: value for key, (_, value) in self.rows.items() if value is not None}
+        return Changes(snapshot, position.version, position.epoch), True
 
-    def current(self) -> bool:
-        """Tell whether the table is known, and as of the newest epoch of the store."""
+    def is_current(self) -> bool:
+        """Return whether the table is known as of the newest epoch of the store."""
         return self.position is not None and self.position.epoch >= self.history.epoch
 
-    def _positioned(self, changes: Changes, known: Position | None) -> Changes:
-        """Return an answer of the store with its place in the store's history.
+    def _check_answer(self, changes: Changes, known: Position | None) -> Changes:
+        """Validate an answer of the store, and fill in its epoch where the store names none.
 
         :param changes: the answer.
-        :param known: up to where the table was known when the store was asked.
-        :raises PlatformUnavailable: when it is of a history that is over, or older than what was known: an
-            old connection or a late answer.
+        :param known: the position of the local copy when the store was called.
+        :raises PlatformUnavailable: when the answer is from a superseded epoch or older than the local
+            copy, as from an old connection or a late answer.
         """
         if changes.epoch == UNKNOWN_EPOCH:
             changes = msgspec.structs.replace(changes, epoch=self.history.epoch)
-        self.history.note(changes.epoch)
+        self.history.observe(changes.epoch)
         if changes.epoch < self.history.epoch:
-            self._dropped("earlier epoch", changes, None)
-            raise PlatformUnavailable("the answer is of an earlier epoch", step="read", peer="store")
-        if self._stale(changes, known):
-            self._dropped("older", changes, None)
-            raise PlatformUnavailable("the answer is older than what is known", step="read", peer="store")
+            self._count_dropped("earlier epoch", changes, None)
+            raise PlatformUnavailable(
+                "the answer is from an earlier epoch of the store", step="read", peer="store"
+            )
+        if self._is_stale(changes, known):
+            self._count_dropped("older", changes, None)
+            raise PlatformUnavailable("the answer is older than the local copy", step="read", peer="store")
         return changes
 
-    def _stale(self, changes: Changes, known: Position | None) -> bool:
-        """Tell whether changes bring a table to less than what was known; versions of one epoch only grow.
+    def _is_stale(self, changes: Changes, known: Position | None) -> bool:
+        """Return whether changes lead behind a known position; versions only grow within an epoch.
 
-        A store that does not name its epoch may have been restored instead.
+        A store that does not name its epoch may have been restored instead, so it is never judged stale.
         """
         if known is None or changes.epoch == UNKNOWN_EPOCH:
             return False
         return changes.position < known
 
     def _may_be_restored(self, changes: Changes, recovered_at: float) -> bool:
-        """Tell whether changes below what is known here may come from a store that was restored.
+        """Return whether changes below the known position may come from a restored store.
 
-        Where it names no epoch, only that it was away since tells such changes from a table that was just
-        read earlier.
+        If the store names no epoch, only an outage since the last confirmation distinguishes them from a
+        snapshot that was read earlier.
 
-        :param recovered_at: when the store was back for whoever read them.
+        :param recovered_at: when the store recovered for the daemon that read them.
         """
         if self.position is None or changes.position >= self.position:
             return False
         return changes.epoch == UNKNOWN_EPOCH and recovered_at > self.confirmed_at
 
-    def _follows(self, after: Position, changes: Changes) -> bool:
-        """Tell whether changes after a position leave nothing out that is not known here."""
+    def _is_contiguous(self, after: Position, changes: Changes) -> bool:
+        """Return whether no change is missing between the position known here and these changes."""
         return self.position is not None and after.epoch == changes.epoch and after <= self.position
 
     def _store_restored(self) -> None:
-        """Read the table anew at once, unless another daemon tells of it."""
-        # A feed that has no position is reading the table already.
-        behind = self.position is not None and not self.current()
-        if self.task is not None and behind and self._rest_left() <= 0:
+        """Read the whole table again at once, unless another daemon relays it."""
+        # A feed without a position is reading the whole table already.
+        behind = self.position is not None and not self.is_current()
+        if self.task is not None and behind and self._seconds_to_call() <= 0:
             self.start()
 
-    def _take(self, changes: Changes, whole: bool) -> bool:
-        """Take in rows, unless newer ones came another way meanwhile; tell whether there were any."""
+    def _apply_changes(self, changes: Changes, is_snapshot: bool) -> bool:
+        """Apply rows unless newer ones arrived another way meanwhile; return whether there were any."""
         if self.position is not None and changes.position < self.position:
             return False
-        if self.position == changes.position and (whole or not changes.rows):
+        if self.position == changes.position and (is_snapshot or not changes.rows):
             return False
         self._note_restored(changes)
         self.position, self.confirmed_at = changes.position, now()
-        self._remember(changes, whole)
-        if not whole and not changes.rows:
+        self._keep_rows(changes, is_snapshot)
+        if not is_snapshot and not changes.rows:
             return False
-        self.apply(changes, whole)
+        self.apply(changes, is_snapshot)
         return True
 
     def _note_restored(self, changes: Changes) -> None:
-        """Note that a table comes from a restored store: rows that the copy lacks may be written again."""
-        before = self.position or self.gone_after
-        self.gone_after = None
+        """Log what differs after the store was restored; rows missing from the backup may be rewritten."""
+        before = self.position or self.history_gone_after
+        self.history_gone_after = None
         if not was_restored(before, changes.position):
             return
         self.recovered_at = max(self.recovered_at, self.history.restored_at or now())
@@ -382,10 +387,10 @@
             changed=sum(read[key] != known[key] for key in known.keys() & read.keys()),
         )
 
-    def _dropped(self, reason: str, changes: Changes, after: Position | None) -> None:
-        """Count and log an update that is not taken in."""
+    def _count_dropped(self, reason: str, changes: Changes, after: Position | None) -> None:
+        """Count and log an update that was rejected."""
         self.dropped += 1
-        self.tell_dropped(
+        self.log_dropped(
             "INFO",
             "update dropped",
             table=self.table,
@@ -397,80 +402,84 @@
             rows=len(changes.rows),
         )
 
-    def _remember(self, changes: Changes, whole: bool) -> None:
-        if whole:
+    def _keep_rows(self, changes: Changes, is_snapshot: bool) -> None:
+        if is_snapshot:
             self.rows.clear()
-            self.complete_from = changes.position
+            self.removals_known_from = changes.position
         self.rows.update((key, (changes.position, value)) for key, value in changes.rows.items())
         removed = sorted((at, key) for key, (at, value) in self.rows.items() if value is None)
-        for at, key in removed[: max(0, len(removed) - MAX_REMOVED)]:
+        for at, key in removed[: max(0, len(removed) - MAX_REMOVED_ROWS)]:
             del self.rows[key]
-            self.complete_from = max(self.complete_from, at)
+            self.removals_known_from = max(self.removals_known_from, at)
 
-    def _rest_left(self) -> float:
-        """Return for how long no call is needed, by what another daemon tells."""
-        if self.position is None or not self.rest_seconds:
+    def _seconds_to_call(self) -> float:
+        """Return for how many seconds updates relayed by other daemons make a call unnecessary."""
+        if self.position is None or not self.relay_valid_seconds:
             return 0.0
-        return max(self.rests_until, self.told_at + self.rest_seconds) - now()
+        return max(self.no_call_before, self.relayed_known_at + self.relay_valid_seconds) - now()
 
-    def ask_now(self) -> None:
-        """Look again without more delay whether to call the store: it answers elsewhere."""
+    def wake(self) -> None:
+        """Wake the feed so that it reconsiders at once whether to call the store."""
         if self.failing_since is not None:
             event("INFO", "feed woken", table=self.table)
-        if not self.back.ready():
-            self.back.send()
+        if not self.wake_event.ready():
+            self.wake_event.send()
 
-    def _store_returned(self, lost_at: float) -> float:
-        """Return when the store was back, by whichever feed noticed first.
+    def _recovery_time(self, lost_at: float) -> float:
+        """Return when the store recovered, as seen by whichever feed noticed first.
 
-        :param lost_at: when this feed lost it.
+        :param lost_at: when this feed lost the store.
         """
-        if self.scout is not None and self.scout.recovered_at > lost_at:
-            return self.scout.recovered_at
+        if self.probe_feed is not None and self.probe_feed.recovered_at > lost_at:
+            return self.probe_feed.recovered_at
         return now()
 
-    def _pause(self) -> None:
-        """Wait after a call that failed, longer after each in a row."""
-        lost = self._lost_everywhere()
-        first, longest = (OTHERS_PAUSE, OTHERS_MAX_PAUSE) if lost else (self.first_pause, self.max_pause)
+    def _back_off(self) -> None:
+        """Back off after a failed call, exponentially and with jitter."""
+        lost = self._probe_failing()
+        first, longest = (
+            (SECONDARY_RETRY_DELAY, MAX_SECONDARY_RETRY_DELAY)
+            if lost
+            else (self.initial_retry_delay, self.max_retry_delay)
+        )
         seconds = min(longest, first * 2.0 ** (self.failures - 1))
-        seconds *= self.rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
-        # Which table is behind, and for how long still, cannot be told from the first failure.
-        took = round(now() - self.asked_at, 2)
+        seconds *= self.rng.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER)
+        # Logged on every failure: the first one alone does not tell which table lags, or for how long.
+        took = round(now() - self.called_at, 2)
         event("INFO", "store call failed", table=self.table, took=took, pause=round(seconds, 2))
         if not lost:
-            self._wait(seconds)
+            self._wait_for_wake(seconds)
             return
         until = now() + seconds
-        while self._lost_everywhere() and now() < until:
-            # The scout wakes this feed, but for when another daemon tells the scout of the store: found
-            # out so, a list of servers is not 4 to 10 s behind.
-            self._wait(min(MAX_PAUSE, until - now()))
-
-    def _lost_everywhere(self) -> bool:
-        """Tell whether the scout finds the store lost too."""
-        return self.scout is not None and self.scout.failing_since is not None
-
-    def _wait(self, seconds: float) -> None:
-        """Wait before the next call, less when it is worth looking sooner."""
-        self.back = Event()
+        while self._probe_failing() and now() < until:
+            # The probe feed wakes this one when its own call succeeds, but not when it recovers through a
+            # relayed update. Polling its state keeps the server list from lagging by another 4 to 10 s.
+            self._wait_for_wake(min(MAX_RETRY_DELAY, until - now()))
+
+    def _probe_failing(self) -> bool:
+        """Return whether the probe feed finds the store unavailable too."""
+        return self.probe_feed is not None and self.probe_feed.failing_since is not None
+
+    def _wait_for_wake(self, seconds: float) -> None:
+        """Wait before the next call, or until woken."""
+        self.wake_event = Event()
         with eventlet.Timeout(seconds, False):
-            self.back.wait()
+            self.wake_event.wait()
 
     def _next_wait(self) -> float:
-        """Return how long the next call may wait for a change."""
-        wait = min(self.wait, max(LEAST_WAIT, OLDEST_OF_WAIT * self.wait - self.age()))
-        # At rest waits end at whole multiples on the clock, so that those of several tables end together
-        # and one message tells of all, which wakes followers less often.
+        """Return how long the next call may wait for a change, in seconds."""
+        wait = min(self.wait, max(MIN_WAIT, MAX_AGE_IN_WAITS * self.wait - self.age()))
+        # While nothing changes, waits end at whole multiples of their length on the clock. Those of several
+        # tables then end together and are relayed in one message, which wakes followers less often.
         left = self.wait - now() % self.wait
-        return min(wait, left) if self.quiet and left >= LEAST_WAIT else wait
+        return min(wait, left) if self.idle and left >= MIN_WAIT else wait
 
-    def turned_away(self) -> bool:
-        """Tell whether the store did not answer an own call lately, though others may tell of it."""
-        return self.lost_at > 0 and now() - self.lost_at < TURNED_AWAY_SECONDS
+    def failed_recently(self) -> bool:
+        """Return whether an own call to the store failed recently, even if others relay the table."""
+        return self.lost_at > 0 and now() - self.lost_at < RECENT_FAILURE_SECONDS
 
-    def _failed(self, error: PlatformUnavailable) -> None:
-        self.lost_at, self.quiet = now(), False
+    def _record_failure(self, error: PlatformUnavailable) -> None:
+        self.lost_at, self.idle = now(), False
         self.failures += 1
         if self.failing_since is None:
             self.failing_since = now()
@@ -481,10 +490,10 @@
                 self.on_failing()
 
 
-def look_together(feeds: Iterable[Feed]) -> None:
-    """Have all feeds of one store look at it anew when one of them finds it lost, or back.
+def link_feeds(feeds: Iterable[Feed]) -> None:
+    """Link all feeds of one store so that each rechecks it when one of them loses or regains it.
 
-    :param feeds: the feeds; the first is the scout, which looks most often.
+    :param feeds: the feeds; the first is the probe feed, which retries most often.
     """
     joined = list(feeds)
 
@@ -496,9 +505,9 @@
     def ask_others(regained: Feed) -> None:
         for feed in joined:
             if feed is not regained and feed.failing_since is not None:
-                feed.ask_now()
+                feed.wake()
 
     for feed in joined:
-        feed.scout = joined[0] if feed is not joined[0] else None
+        feed.probe_feed = joined[0] if feed is not joined[0] else None
         feed.on_lost = partial(tell_others, feed)
-        feed.on_regained = partial(ask_others, feed)
+        feed.on_recovered = partial(ask_others, feed)
--- a/bayglade/fleet.py
+++ b/bayglade/fleet.py
@@ -311,7 +311,7 @@
         The entry is confirmed when the server writes it again, or when the platform keeps it for the
         expiry time.
         """
-        if facts.id in self.servers or facts.key not in self.tombstones.known:
+        if facts.id in self.servers or facts.key not in self.tombstones.by_incarnation:
             return
         self._add(facts)
         self.servers[facts.id].unconfirmed_until = now() + self.expiry
@@ -371,7 +371,7 @@
     def _remove(self, backend: BackendId) -> None:
         server = self.servers.pop(backend, None)
         if server is not None:
-            self.tombstones.add(server, now())
+            self.tombstones.remember(server, now())
             if not server.leaving:
                 self.on_unlisted(server)
             server.leaving = True
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -17,20 +17,20 @@
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
 from bayglade.disconnects import CallerDisconnected, DisconnectWatcher
-from bayglade.epochs import GuardedTable, StoreHistory
+from bayglade.epochs import EpochGuardedTable, StoreHistory
 from bayglade.exceptions import BaygladeError, InvalidSettings, Stopping
-from bayglade.feeds import Feed, look_together
+from bayglade.feeds import Feed, link_feeds
 from bayglade.fleet import Fleet
 from bayglade.freshness import (
-    LEAST_BOUND_SECONDS,
-    answer_within,
+    MIN_BOUND_SECONDS,
+    answer_timeout,
+    batch_delay,
     document_bound,
-    gather_within,
-    wait_within,
+    poll_wait,
 )
 from bayglade.http1 import Message
 from bayglade.ids import RequestId
-from bayglade.intake import ELSEWHERE_SECONDS, Intake
+from bayglade.intake import RETRY_ELSEWHERE_SECONDS, Intake
 from bayglade.leases import Lease
 from bayglade.listener import Connection, Handler, listen, serve
 from bayglade.listing import Listing
@@ -92,10 +92,10 @@
         key_trust, servers_bound = config.key_trust_ms / 1000, config.drain_ms / 1000
         settings_bound = document_bound(config.config_ms / 1000, key_trust)
         self.min_staleness_bound = min(settings_bound, servers_bound)
-        answer_seconds = answer_within(self.min_staleness_bound)
+        answer_seconds = answer_timeout(self.min_staleness_bound)
         self.history = StoreHistory()
-        self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
-        rows = GuardedTable(self.store, self.history)
+        self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.observe)
+        rows = EpochGuardedTable(self.store, self.history)
         self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN_SECONDS)
         self.links = ConnectionPool()
         self.fleet.on_restart.append(self.links.close_idle)
@@ -108,7 +108,7 @@
         self.document_feed = Feed(
             self.store,
             platform.OPERATOR_TABLE,
-            wait_within(settings_bound),
+            poll_wait(settings_bound),
             self._apply_document,
             DOCUMENT_POLL_DELAY,
             self.history,
@@ -117,9 +117,9 @@
         self.servers_feed = Feed(
             self.store,
             platform.SERVERS_TABLE,
-            wait_within(servers_bound),
+            poll_wait(servers_bound),
             self.listing.apply_changes,
-            gather_within(servers_bound),
+            batch_delay(servers_bound),
             self.history,
         )
         self.listing.feed = self.servers_feed
@@ -154,7 +154,7 @@
             self.metrics,
             self.rng,
             pair_servers=Mechanism.PAIRS not in config.without,
-            tries_first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
+            tries_first=lambda: self.peering.reads_store() and self.document_feed.failing_since is None,
         )
         self.peering = Peering(
             config,
@@ -169,7 +169,7 @@
             self.rng,
         )
         self.loader.daemons = self.peering.count
-        look_together(self._feeds())
+        link_feeds(self._feeds())
         self.presence = DisconnectWatcher(self.metrics)
         self.active_requests: set[RequestId] = set()
         self.draining = False
@@ -186,12 +186,12 @@
         """
         logs.configure_logging(self.config.member, "json", self.config.log_level)
         use_boottime_timers()
-        if self.min_staleness_bound < LEAST_BOUND_SECONDS:
+        if self.min_staleness_bound < MIN_BOUND_SECONDS:
             event(
                 "WARNING",
                 "staleness bound is too short",
                 bound=self.min_staleness_bound,
-                least=LEAST_BOUND_SECONDS,
+                least=MIN_BOUND_SECONDS,
             )
         self._install_signal_handlers()
         self._start_listener(self.config.ready, lambda: INTERNAL_CLIENT_LIMITS, self._serve_readiness)
@@ -219,12 +219,12 @@
             and self.intake.version > 0
             and self.intake.caught_up
             and bool(self.fleet.servers)
-            and self.intake.trusted()
+            and self.intake.keys_trusted()
         )
 
     def _feeds(self) -> tuple[Feed, ...]:
         """Return the feeds of all tables; the first probes most often while the store is unreachable."""
-        return self.document_feed, self.servers_feed, self.peering.feed
+        return self.document_feed, self.servers_feed, self.peering.roster_feed
 
     def beliefs(self) -> Beliefs:
         """Return this daemon's current view of settings, members, servers and paths."""
@@ -243,8 +243,8 @@
             caught_up=self.intake.caught_up,
             tables=table_beliefs(self._feeds()),
             lease=self.loader.lease.state().value,
-            duty=self.peering.plan.duty.value,
-            asks=list(self.peering.plan.asks),
+            duty=self.peering.plan.role.value,
+            asks=list(self.peering.plan.sources),
             members=self.peering.live(),
             in_flight=len(self.active_requests),
             waiting=self.wait_queues.waiting(),
@@ -300,7 +300,7 @@
         if not self.draining or now() - self.draining_since < DRAIN_ACCEPT_SECONDS:
             return
         if call.deadline > self._exit_time():
-            retry_seconds = jittered_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+            retry_seconds = jittered_retry_after(RETRY_ELSEWHERE_SECONDS, self.rng, RETRY_ELSEWHERE_SECONDS)
             raise Stopping("this daemon is shutting down", step="intake", retry_after=retry_seconds)
 
     def _exit_time(self) -> float:
@@ -344,7 +344,7 @@
         except InvalidSettings as error:
             event("ERROR", "settings refused", error=repr(error), in_force=self.intake.version)
             return
-        self.intake.take(version, tree, bytes(value))
+        self.intake.apply(version, tree, bytes(value))
 
     def _run_housekeeping(self) -> None:
         """Run periodic housekeeping; never returns."""
@@ -412,7 +412,7 @@
         if not self.draining:
             self.draining_since = now()
         self.draining = True
-        self.peering.leave()
+        self.peering.announce_stop()
         if not self.shutdown_requested.ready():
             self.shutdown_requested.send()
 
--- a/bayglade/lending.py
+++ b/bayglade/lending.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Sequence
 
 from bayglade.clock import now
-from bayglade.entries.wire import Borrow, Lent
-from bayglade.fanout import Push
+from bayglade.entries.wire import BorrowReply, BorrowRequest
+from bayglade.fanout import Send
 from bayglade.ids import MemberId
 from bayglade.pending_replies import PendingReplies
 from bayglade.retries import RetryBudget
@@ -35,7 +35,7 @@
     :param window: the window in seconds over which the budget is counted.
     """
 
-    def __init__(self, readers: Callable[[], Sequence[MemberId]], push: Push, window: float) -> None:
+    def __init__(self, readers: Callable[[], Sequence[MemberId]], push: Send, window: float) -> None:
         self.readers = readers
         self.push = push
         self.window = window
@@ -78,11 +78,11 @@
         budget = self.lent[service]
         return sum(budget.acquire() for _ in range(wanted))
 
-    def handle_borrow(self, member: MemberId, message: Borrow) -> None:
+    def handle_borrow(self, member: MemberId, message: BorrowRequest) -> None:
         """Reply to a daemon that requests a loan."""
-        self.push(member, Lent(message.number, self.lend(message.service, message.wanted)))
+        self.push(member, BorrowReply(message.number, self.lend(message.service, message.wanted)))
 
-    def handle_lent(self, member: MemberId, message: Lent) -> None:
+    def handle_lent(self, member: MemberId, message: BorrowReply) -> None:
         """Deliver a loan to the request that waits for it; a late one is dropped."""
         self.pending.resolve(message.number, message.amount)
 
@@ -102,7 +102,8 @@
         reader = readers[self.pending.last_number % len(readers)]
         return (
             self.pending.request(
-                lambda number: self.push(reader, Borrow(number, service, LOAN_SIZE)), BORROW_TIMEOUT_SECONDS
+                lambda number: self.push(reader, BorrowRequest(number, service, LOAN_SIZE)),
+                BORROW_TIMEOUT_SECONDS,
             )
             or 0
         )
--- a/bayglade/quotas.py
+++ b/bayglade/quotas.py
@@ -17,7 +17,7 @@
 from bayglade.buckets import Bucket
 from bayglade.clock import now
 from bayglade.entries.wire import LimitNotice, QuotaReply, QuotaRequest, QuotaReturn
-from bayglade.fanout import Push
+from bayglade.fanout import Send
 from bayglade.ids import MemberId, ServerKey, ServiceName
 from bayglade.pending_replies import PendingReplies
 from bayglade.rate_limits import RateLimits, usable_rate
@@ -85,7 +85,7 @@
         me: MemberId,
         owner_of: OwnerOf,
         next_hop: NextHop,
-        push: Push,
+        push: Send,
         wake: Callable[[ServiceName], None],
         rng: random.Random,
     ) -> None:
--- a/bayglade/readers.py
+++ b/bayglade/readers.py
@@ -1,11 +1,11 @@
-"""Readers: which daemons follow the platform's tables, and whom the others ask.
+"""Readers: which daemons follow the platform's tables in the store, and which daemons the others poll.
 
-Each call of the store is paid for and draws on a rate that all daemons share, so
-its calls must not grow with daemons. Two daemons of the whole site follow the
-store, two of each data hall ask these, and all others ask the two of their hall.
-Everybody works this out alone, from the same order of names; views may differ for
-a while, and then somebody is asked who has to ask others. A daemon only ever asks
-daemons before it in the order, so no questions run in a circle.
+Each call of the store costs money and counts against a rate limit that all daemons share, so the
+number of calls must not grow with the number of daemons. Two daemons of the whole site follow the
+store, two of each data hall poll these, and all others poll the two of their hall. Each daemon
+computes this locally from the same ranking. Views may differ for a while, and then a daemon may be
+polled that has to poll others itself. A daemon only polls daemons ranked before it, so polls never
+form a cycle.
 
 See ``docs/design/membership.md``.
 """
@@ -19,126 +19,129 @@
 from bayglade.clock import now
 from bayglade.ids import HallName, MemberId
 
-READERS = 2
-"""Readers of the site, and of each hall: the second serves while the first is lost."""
-MOST_UNABLE = 3
-"""Daemons that are passed over because the store does not answer them. When more say so, the store
-itself is taken to be lost: everybody trying for it in turn would call it once a daemon."""
-LOST_SECONDS = 1.8
-"""A daemon that was not heard for so long is not asked: its heartbeats come each second."""
-FORGIVE_SECONDS = 15.0
-"""After this time one that fell silent is asked again: it may not know that it should say something."""
-RANK_BYTES = 8
+READER_COUNT = 2
+"""Readers of the site, and of each hall: the second one serves while the first is lost."""
+MAX_PASSED_OVER = 3
+"""How many daemons may be passed over because the store does not answer them. If more report that, the
+store itself is considered unavailable: otherwise every daemon in turn would become a reader and call it."""
+LOST_AFTER_SECONDS = 1.8
+"""A daemon that has been silent for this long is no longer polled; heartbeats arrive every second."""
+LOST_EXPIRY_SECONDS = 15.0
+"""A silent daemon becomes eligible again after this time, as it may not know that others wait for it."""
+RANK_DIGEST_BYTES = 8
 
 
-class Duty(Enum):
-    """What a daemon does for the others."""
+class Role(Enum):
+    """The part that a daemon plays in reading the platform's tables."""
 
-    SITE = "site"
+    SITE_READER = "site"
     """Follows the store."""
 
-    HALL = "hall"
-    """Asks the readers of the site, and is asked by its hall."""
+    HALL_READER = "hall"
+    """Polls the readers of the site, and is polled by its hall."""
 
     FOLLOWER = "follower"
-    """Asks the readers of its hall."""
+    """Polls the readers of its hall."""
 
 
-class Plan(msgspec.Struct, frozen=True):
-    """Who reads, as one daemon sees it."""
+class ReaderPlan(msgspec.Struct, frozen=True):
+    """Which daemons are readers, in the view of one daemon."""
 
-    duty: Duty
-    asks: tuple[MemberId, ...] = ()
-    """The daemons that this one asks; none when it reads the store."""
+    role: Role
+    sources: tuple[MemberId, ...] = ()
+    """The daemons that this one polls; none when it follows the store."""
 
-    readers: dict[HallName, tuple[MemberId, ...]] = {}
+    hall_readers: dict[HallName, tuple[MemberId, ...]] = {}
     """The readers of each hall."""
 
 
-class Order:
-    """All daemons in the order in which they become readers.
+class Ranking:
+    """All daemons, ranked by the order in which they become readers.
 
     :param halls: all daemons with their halls.
-    :param links: speeds of their hosts' links, in Mbit/s. Quick ones come first: what a
-        reader sends to its hall would hold everything else up on a slow link.
+    :param links: link speeds of their hosts, in Mbit/s. Daemons on fast links rank first: on a slow link,
+        relaying a table to a hall would delay all other traffic.
     """
 
-    __slots__ = ("by_hall", "halls", "site")
+    __slots__ = ("by_hall", "halls", "ranked")
 
     def __init__(
         self, halls: Mapping[MemberId, HallName], links: Mapping[MemberId, float] | None = None
     ) -> None:
         speeds = links or {}
         self.halls = dict(halls)
-        self.site = sorted(halls, key=lambda member: (-speeds.get(member, 0.0), _rank(member)))
+        self.ranked = sorted(halls, key=lambda member: (-speeds.get(member, 0.0), _rank(member)))
         self.by_hall: dict[HallName, list[MemberId]] = {}
-        for member in self.site:
+        for member in self.ranked:
             self.by_hall.setdefault(halls[member], []).append(member)
 
     def __repr__(self) -> str:
-        return f"<Order of {len(self.site)} daemons>"
+        return f"<Ranking of {len(self.ranked)} daemons>"
 
 
-class Lost:
-    """Daemons that fell silent, as one daemon sees it; times are monotonic seconds."""
+class LostDaemons:
+    """Daemons that have gone silent, in the view of one daemon; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.since: dict[MemberId, float] = {}
 
     def __repr__(self) -> str:
-        return f"<Lost {sorted(self.since)}>"
+        return f"<LostDaemons {sorted(self.since)}>"
 
     def update(self, silent: Iterable[MemberId], heard: Mapping[MemberId, float]) -> None:
-        """Take in who is silent now.
+        """Update the set of silent daemons.
 
         :param silent: daemons that should have been heard and were not.
-        :param heard: when each daemon was heard last.
+        :param heard: when each daemon was last heard.
         """
         at = now()
         for member in silent:
             self.since.setdefault(member, at)
         for member, since in list(self.since.items()):
-            if heard.get(member, 0.0) > since or at - since > FORGIVE_SECONDS:
+            if heard.get(member, 0.0) > since or at - since > LOST_EXPIRY_SECONDS:
                 del self.since[member]
 
 
-def make_plan(me: MemberId, order: Order, lost: Collection[MemberId], unable: Collection[MemberId]) -> Plan:
-    """Work out who reads.
+def plan_readers(
+    me: MemberId, ranking: Ranking, lost: Collection[MemberId], without_store: Collection[MemberId]
+) -> ReaderPlan:
+    """Choose the readers.
 
     :param me: this daemon.
-    :param order: all daemons.
-    :param lost: daemons that fell silent.
-    :param unable: daemons that live and get no answer of the store.
+    :param ranking: the ranking of all daemons.
+    :param lost: daemons that have gone silent.
+    :param without_store: daemons that are alive but get no answer from the store.
     """
-    hall = order.halls.get(me)
+    hall = ranking.halls.get(me)
     if hall is None:
-        return Plan(Duty.SITE)
-    readers = {name: _first(members, lost, unable) for name, members in order.by_hall.items()}
+        return ReaderPlan(Role.SITE_READER)
+    readers = {name: _choose(members, lost, without_store) for name, members in ranking.by_hall.items()}
     if me not in readers[hall]:
-        return Plan(Duty.FOLLOWER, readers[hall], readers)
-    site = _first(order.site, lost, unable)
+        return ReaderPlan(Role.FOLLOWER, readers[hall], readers)
+    site = _choose(ranking.ranked, lost, without_store)
     if me not in site:
-        return Plan(Duty.HALL, site, readers)
-    return Plan(Duty.SITE, (), readers)
+        return ReaderPlan(Role.HALL_READER, site, readers)
+    return ReaderPlan(Role.SITE_READER, (), readers)
 
 
-def streams_of(me: MemberId, order: Order, plan: Plan) -> set[MemberId]:
-    """Return the daemons to which a daemon needs a stream: those it asks, and who may ask it."""
-    if plan.duty is Duty.FOLLOWER:
-        return set(plan.asks)
-    hall = set(order.by_hall.get(order.halls.get(me, HallName("")), ()))
-    others = {name for names in plan.readers.values() for name in names}
-    return (hall | others | set(plan.asks)) - {me}
+def needed_streams(me: MemberId, ranking: Ranking, plan: ReaderPlan) -> set[MemberId]:
+    """Return the daemons to which a daemon needs a stream: those it polls, and those that may poll it."""
+    if plan.role is Role.FOLLOWER:
+        return set(plan.sources)
+    hall = set(ranking.by_hall.get(ranking.halls.get(me, HallName("")), ()))
+    others = {name for names in plan.hall_readers.values() for name in names}
+    return (hall | others | set(plan.sources)) - {me}
 
 
-def _first(
-    members: Sequence[MemberId], lost: Collection[MemberId], unable: Collection[MemberId]
+def _choose(
+    members: Sequence[MemberId], lost: Collection[MemberId], without_store: Collection[MemberId]
 ) -> tuple[MemberId, ...]:
     live = [member for member in members if member not in lost]
-    able = [member for member in live[: READERS + MOST_UNABLE] if member not in unable]
-    return tuple((able if len(able) >= READERS else live)[:READERS])
+    able = [member for member in live[: READER_COUNT + MAX_PASSED_OVER] if member not in without_store]
+    return tuple((able if len(able) >= READER_COUNT else live)[:READER_COUNT])
 
 
 def _rank(member: MemberId) -> bytes:
-    # Not by name: daemons of one rack or of one rolling restart often have names in a row.
-    return hashlib.blake2b(member.encode(), digest_size=RANK_BYTES).digest()
+    # Ranked by hash rather than by name: daemons of one rack or of one rolling restart often have
+    # consecutive names.
+    return hashlib.blake2b(member.encode(), digest_size=RANK_DIGEST_BYTES).digest()
--- a/bayglade/totals.py
+++ b/bayglade/totals.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from bayglade.clock import now
-from bayglade.entries.wire import Heartbeat, ServerLoad, Sums
+from bayglade.entries.wire import Heartbeat, LoadSums, ServerLoad
 from bayglade.ids import HallName, MemberId, ServerKey
 
 REPORT_MAX_AGE_SECONDS = 3.5
@@ -49,7 +49,7 @@
         self.me = me
         self.halls: dict[MemberId, HallName] = {}
         self.readers: Mapping[HallName, Sequence[MemberId]] = {}
-        self.sums = Sums()
+        self.sums = LoadSums()
         """The sums sent with the last heartbeat."""
 
         self.reports: dict[MemberId, LoadReport] = {}
@@ -84,22 +84,22 @@
         :param own: the sums of this daemon.
         """
         if self.is_reader():
-            self.sums = Sums(own, self.hall_sum(own), self.site_sum(own))
+            self.sums = LoadSums(own, self.hall_sum(own), self.site_sum(own))
         else:
-            self.sums = Sums(own)
+            self.sums = LoadSums(own)
 
-    def for_member(self, member: MemberId) -> Sums:
+    def for_member(self, member: MemberId) -> LoadSums:
         """Return the sums that another daemon needs.
 
         :param member: the daemon.
         """
         if not self.readers:
-            return Sums(self.sums.own)
+            return LoadSums(self.sums.own)
         hall = self.halls.get(member, HallName(""))
         if hall == self.halls.get(self.me):
             own = self.sums.own if member in self.readers.get(hall, ()) else []
-            return Sums(own, [], self.sums.everywhere)
-        return Sums([], self.sums.hall, [])
+            return LoadSums(own, [], self.sums.everywhere)
+        return LoadSums([], self.sums.hall, [])
 
     def hall_sum(self, own: Iterable[ServerLoad]) -> list[ServerLoad]:
         """Return the sums of this daemon's hall, including its own.
--- a/bayglade/usage.py
+++ b/bayglade/usage.py
@@ -8,7 +8,7 @@
 
 from bayglade.clock import DecayingSum, now
 from bayglade.ids import GroupPath, MemberId
-from bayglade.settings import contains, lineage
+from bayglade.settings import ancestors_and_self, contains
 
 USAGE_TAU = 5.0
 """Time constant of the decay: seconds in which a count falls to 1/e."""
@@ -47,7 +47,7 @@
         """
         at = now()
         _add(self.local_leaves, path, tokens, at)
-        for level in lineage(path):
+        for level in ancestors_and_self(path):
             _add(self.local, level, tokens, at)
 
     def total(self, path: GroupPath, at: float) -> float:
@@ -127,7 +127,7 @@
         """Replace one count of another daemon, and its contribution to all levels above."""
         change = amount - _read(served, path, at)
         served[path] = _decayed(amount, at)
-        for level in lineage(path):
+        for level in ancestors_and_self(path):
             _add(self.remote_total, level, change, at)
 
     def _forget(self, at: float) -> None:
--- a/tests/test_catchup.py
+++ b/tests/test_catchup.py
@@ -1,4 +1,4 @@
-"""A daemon that starts serves only once others have confirmed its settings, or cannot be asked."""
+"""A starting daemon serves only once others have confirmed its settings or cannot be asked."""
 
 import random
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 import pytest
 
 from bayglade import catchup
-from bayglade.catchup import CATCH_UP_SECONDS, CatchUp
+from bayglade.catchup import CATCH_UP_TIMEOUT, CatchUp
 from bayglade.exceptions import CutOff
 from bayglade.ids import MemberId, Revision
 from bayglade.intake import Intake
@@ -29,11 +29,11 @@
 def intake(clock: ManualClock) -> Intake:
     made = Intake(SimpleNamespace(), lambda: 0.0, 5.0, random.Random(1))  # type: ignore[arg-type]
     made.caught_up = False
-    made.take(7, Tree(), b"7")
+    made.apply(7, Tree(), b"7")
     return made
 
 
-def test_nothing_is_served_before(intake: Intake) -> None:
+def test_no_call_is_served_before_settings_are_confirmed(intake: Intake) -> None:
     intake.dialect = SimpleNamespace(read_call=lambda message: None)  # type: ignore[assignment]
     message: Any = None
     with pytest.raises(CutOff) as refused:
@@ -41,8 +41,8 @@
     assert refused.value.retry_after is not None
 
 
-def test_a_call_is_held_for_the_moment_in_which_others_confirm(intake: Intake) -> None:
-    held = eventlet.spawn(intake._await_others)
+def test_a_call_is_held_while_others_confirm_the_settings(intake: Intake) -> None:
+    held = eventlet.spawn(intake._await_confirmation)
     eventlet.sleep(0)
     CatchUp(intake).check(set())
     assert held.wait()
@@ -50,26 +50,26 @@
 
 def test_two_daemons_that_have_caught_up_are_enough(intake: Intake) -> None:
     catch_up = CatchUp(intake)
-    catch_up.hear(A, Revision(7), True)
+    catch_up.record(A, Revision(7), True)
     assert not catch_up.check({A, B, C})
-    catch_up.hear(B, Revision(6), True)
+    catch_up.record(B, Revision(6), True)
     assert catch_up.check({A, B, C})
 
 
 def test_newer_settings_are_waited_for(intake: Intake) -> None:
     catch_up = CatchUp(intake)
     for member in (A, B, C):
-        catch_up.hear(member, Revision(9 if member == C else 7), True)
+        catch_up.record(member, Revision(9 if member == C else 7), True)
     assert not catch_up.check({A, B, C})
-    intake.take(9, Tree(), b"9")
+    intake.apply(9, Tree(), b"9")
     assert catch_up.check({A, B, C})
 
 
 def test_daemons_that_all_start_together_confirm_each_other(intake: Intake) -> None:
     catch_up = CatchUp(intake)
-    catch_up.hear(A, Revision(7), False)
+    catch_up.record(A, Revision(7), False)
     assert not catch_up.check({A, B})
-    catch_up.hear(B, Revision(0), False)
+    catch_up.record(B, Revision(0), False)
     assert catch_up.check({A, B})
 
 
@@ -79,10 +79,10 @@
 
 
 @pytest.mark.parametrize("others", [None, {A, B}])
-def test_others_that_cannot_be_asked_are_not_waited_for_for_ever(
+def test_waiting_for_unreachable_daemons_times_out(
     intake: Intake, clock: ManualClock, others: set[MemberId] | None
 ) -> None:
     catch_up = CatchUp(intake)
     assert not catch_up.check(others)
-    clock.at += CATCH_UP_SECONDS
+    clock.at += CATCH_UP_TIMEOUT
     assert catch_up.check(others)
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -1,4 +1,4 @@
-"""Fan-out of updates: who reads, how old an update is, and what happens when readers fall silent."""
+"""Fan-out: who reads, how old an update is, and what happens when readers go silent."""
 
 import time
 from collections.abc import Iterator
@@ -8,16 +8,16 @@
 import pytest
 
 from bayglade import fanout, feeds
-from bayglade.entries.wire import Poll, Unable, Updates
+from bayglade.entries.wire import Poll, StoreUnreachable, Updates
 from bayglade.exceptions import PeerError, PlatformUnavailable
-from bayglade.fanout import FOLLOWER_PAUSE, LEAST_TELL_PART, Fanout, pack, unpack
-from bayglade.feeds import Feed, look_together
-from bayglade.freshness import rest_after
+from bayglade.fanout import FOLLOWER_MAX_RETRY_DELAY, MIN_FRESHER_FRACTION, Fanout, decode_rows, encode_rows
+from bayglade.feeds import Feed, link_feeds
+from bayglade.freshness import relay_validity
 from bayglade.ids import UNKNOWN_EPOCH, MemberId
 from bayglade.rows import Changes, Position
 
 WAIT = 1.0
-REST = rest_after(WAIT)
+RELAY_VALID_SECONDS = relay_validity(WAIT)
 
 
 def at(version: int) -> Position:
@@ -26,7 +26,7 @@
 
 
 class Clock:
-    """The clock of both daemons; it moves only as told."""
+    """The clock of all daemons; it advances only when told to."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -36,7 +36,7 @@
 
 
 class Table:
-    """A table of the store: answers at once with all that changed."""
+    """A table of the store that answers at once with everything that changed."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[int, msgspec.Raw | None]] = {}
@@ -49,25 +49,25 @@
         self.rows[key] = (self.version, None if value is None else msgspec.Raw(value))
 
     def snapshot(self, table: str) -> Changes:
-        self._called()
+        self._count_call()
         return Changes({k: v for k, (_, v) in self.rows.items() if v is not None}, self.version)
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
-        self._called()
+        self._count_call()
         return Changes({k: v for k, (at, v) in self.rows.items() if at > after.version}, self.version)
 
-    def _called(self) -> None:
+    def _count_call(self) -> None:
         self.calls += 1
         if self.lost:
             raise PlatformUnavailable("no answer", step="read", peer="store")
 
 
 class Daemon:
-    """One daemon: a feed of one table, what it took in, and its part in passing updates on."""
+    """One daemon: a feed of one table, the rows applied, and its fan-out."""
 
     def __init__(self, table: Table) -> None:
-        self.taken: dict[str, bytes | None] = {}
-        self.outbox: list[tuple[MemberId, Poll | Updates | Unable]] = []
+        self.applied: dict[str, bytes | None] = {}
+        self.outbox: list[tuple[MemberId, Poll | Updates | StoreUnreachable]] = []
         self.feed = Feed(table, "t", WAIT, self._apply)
         self.fanout = Fanout(
             {"t": self.feed}, self.feed, lambda m, message: self.outbox.append((m, message)), "x:1"
@@ -75,10 +75,10 @@
 
     def _apply(self, changes: Changes, whole: bool) -> None:
         if whole:
-            self.taken.clear()
-        self.taken |= {k: None if v is None else bytes(v) for k, v in changes.rows.items()}
+            self.applied.clear()
+        self.applied |= {k: None if v is None else bytes(v) for k, v in changes.rows.items()}
 
-    def sent(self) -> Poll | Updates | Unable:
+    def sent(self) -> Poll | Updates | StoreUnreachable:
         return self.outbox.pop(0)[1]
 
 
@@ -92,161 +92,161 @@
 
 @pytest.fixture
 def hall(clock: Clock) -> tuple[Table, Daemon, Daemon]:
-    """Return a table, a reader that has read it, and a follower that knows nothing."""
+    """Return a table, a reader that has read it, and a follower without any rows."""
     table = Table()
     reader, follower = Daemon(table), Daemon(table)
-    reader.fanout.assign(())
-    follower.fanout.assign((MemberId("d0"),))
+    reader.fanout.set_sources(())
+    follower.fanout.set_sources((MemberId("d0"),))
     table.put("a", b"1")
-    reader.feed._step()
+    reader.feed._poll()
     return table, reader, follower
 
 
 def exchange(reader: Daemon, follower: Daemon) -> None:
-    """Carry one question and its answer over."""
-    follower.fanout.watch()
-    ask = follower.sent()
-    assert isinstance(ask, Poll)
-    reader.fanout.heard_poll(MemberId("d5"), ask)
+    """Deliver one poll and its answer."""
+    follower.fanout.poll_sources()
+    poll = follower.sent()
+    assert isinstance(poll, Poll)
+    reader.fanout.receive_poll(MemberId("d5"), poll)
     answer = reader.sent()
     assert isinstance(answer, Updates)
-    follower.fanout.heard_updates(MemberId("d0"), answer)
+    follower.fanout.receive_updates(MemberId("d0"), answer)
 
 
-def test_a_follower_learns_the_table_and_its_changes_without_a_call(
+def test_a_follower_gets_the_table_and_its_changes_without_a_store_call(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     table, reader, follower = hall
     exchange(reader, follower)
-    assert follower.taken == {"a": b"1"}
+    assert follower.applied == {"a": b"1"}
     table.put("a", b"2")
     table.put("b", b"3")
     clock.at += 1.0
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     assert reader.outbox == []
-    reader.feed._step()
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.taken == {"a": b"2", "b": b"3"}
+    reader.feed._poll()
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    assert follower.applied == {"a": b"2", "b": b"3"}
     assert table.calls == 2
 
 
-def test_the_age_of_an_update_is_counted_from_the_question(
+def test_the_age_of_an_update_is_counted_from_the_poll(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
     clock.at += 0.5
-    follower.fanout.watch()
-    ask = follower.sent()
+    follower.fanout.poll_sources()
+    poll = follower.sent()
     clock.at += 3.0
-    reader.fanout.heard_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
+    reader.fanout.receive_poll(MemberId("d5"), poll)  # type: ignore[arg-type]
     answer = reader.sent()
     clock.at += 4.0
-    follower.fanout.heard_updates(MemberId("d0"), answer)  # type: ignore[arg-type]
-    # Only the time between the question and the answer is known to have passed at the reader:
-    # none, and its own knowledge was 3.5 seconds old.
+    follower.fanout.receive_updates(MemberId("d0"), answer)  # type: ignore[arg-type]
+    # The follower cannot know when within these 7 s the reader answered, so it counts from its poll and
+    # adds the reported age of 3.5 s.
     assert follower.feed.age() == pytest.approx(7.0 + 3.5)
-    assert follower.feed._rest_left() <= 0
+    assert follower.feed._seconds_to_call() <= 0
 
 
-def test_an_answer_to_an_earlier_question_is_passed_over(
-    hall: tuple[Table, Daemon, Daemon], clock: Clock
-) -> None:
+def test_an_answer_to_an_earlier_poll_is_ignored(hall: tuple[Table, Daemon, Daemon], clock: Clock) -> None:
     _, reader, follower = hall
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     late = reader.sent()
     clock.at += 2.0
-    follower.fanout.watch()
-    follower.fanout.heard_updates(MemberId("d0"), late)  # type: ignore[arg-type]
-    assert follower.taken == {}
+    follower.fanout.poll_sources()
+    follower.fanout.receive_updates(MemberId("d0"), late)  # type: ignore[arg-type]
+    assert follower.applied == {}
 
 
-def test_a_reader_without_the_store_says_so_and_answers_once_it_is_back(
+def test_a_reader_without_the_store_reports_it_and_answers_after_recovery(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     table, reader, follower = hall
     table.lost = True
-    reader.feed._failed(PlatformUnavailable("no answer", step="read", peer="store"))
-    follower.fanout.watch()
-    ask = follower.sent()
-    reader.fanout.heard_poll(MemberId("d5"), ask)  # type: ignore[arg-type]
+    reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
+    follower.fanout.poll_sources()
+    poll = follower.sent()
+    reader.fanout.receive_poll(MemberId("d5"), poll)  # type: ignore[arg-type]
     refusal = reader.sent()
-    assert isinstance(refusal, Unable)
-    follower.fanout.heard_unable(MemberId("d0"), refusal)
-    assert follower.fanout.unable == {"d0"}
-    reader.fanout.tell()
+    assert isinstance(refusal, StoreUnreachable)
+    follower.fanout.receive_store_unreachable(MemberId("d0"), refusal)
+    assert follower.fanout.peers_without_store == {"d0"}
+    reader.fanout.relay()
     assert reader.outbox == []
     table.lost = False
-    reader.feed._step()
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.fanout.unable == set()
-    assert follower.taken == {"a": b"1"}
+    reader.feed._poll()
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    assert follower.fanout.peers_without_store == set()
+    assert follower.applied == {"a": b"1"}
 
 
-def test_a_reader_that_loses_the_store_tells_those_who_wait(
+def test_a_reader_that_loses_the_store_notifies_pending_polls(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
     exchange(reader, follower)
     clock.at += 1.0
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
     assert reader.outbox == []
-    reader.feed._failed(PlatformUnavailable("no answer", step="read", peer="store"))
-    assert isinstance(reader.sent(), Unable)
-    assert MemberId("d5") in reader.fanout.waiting
+    reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
+    assert isinstance(reader.sent(), StoreUnreachable)
+    assert MemberId("d5") in reader.fanout.pending_polls
 
 
-def test_what_is_heard_is_passed_on_with_its_age(hall: tuple[Table, Daemon, Daemon], clock: Clock) -> None:
+def test_a_relayed_update_is_relayed_again_with_its_age(
+    hall: tuple[Table, Daemon, Daemon], clock: Clock
+) -> None:
     table, reader, middle = hall
     last = Daemon(table)
-    last.fanout.assign((MemberId("d5"),))
-    last.fanout.watch()
-    middle.fanout.heard_poll(MemberId("d9"), last.sent())  # type: ignore[arg-type]
+    last.fanout.set_sources((MemberId("d5"),))
+    last.fanout.poll_sources()
+    middle.fanout.receive_poll(MemberId("d9"), last.sent())  # type: ignore[arg-type]
     assert middle.outbox == []
     clock.at += 0.4
-    middle.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), middle.sent())  # type: ignore[arg-type]
-    middle.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    middle.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), middle.sent())  # type: ignore[arg-type]
+    middle.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
     answer = next(message for member, message in middle.outbox if member == "d9")
-    last.fanout.heard_updates(MemberId("d5"), answer)  # type: ignore[arg-type]
-    assert last.taken == {"a": b"1"}
-    # The reader read 0.4 s ago; the last one's question lay there for as long.
+    last.fanout.receive_updates(MemberId("d5"), answer)  # type: ignore[arg-type]
+    assert last.applied == {"a": b"1"}
+    # The reader read the table 0.4 s ago, and the poll of the last daemon was pending for as long.
     assert last.feed.age() == pytest.approx(0.4)
     assert table.calls == 1
 
 
-def test_freshness_alone_is_not_told_twice_in_a_row(
+def test_a_slightly_fresher_table_is_not_relayed_again(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
     exchange(reader, follower)
-    clock.at += LEAST_TELL_PART * WAIT / 2
-    follower.fanout.watch()
+    clock.at += MIN_FRESHER_FRACTION * WAIT / 2
+    follower.fanout.poll_sources()
     clock.at += 1.0
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
-    reader.feed.known_at += LEAST_TELL_PART * WAIT / 2
-    reader.fanout.tell()
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    reader.feed.known_at += MIN_FRESHER_FRACTION * WAIT / 2
+    reader.fanout.relay()
     assert reader.outbox == []
-    reader.feed.known_at += LEAST_TELL_PART * WAIT
-    reader.fanout.tell()
+    reader.feed.known_at += MIN_FRESHER_FRACTION * WAIT
+    reader.fanout.relay()
     assert isinstance(reader.sent(), Updates)
 
 
-def test_a_follower_rests_while_it_is_told_and_no_longer(
+def test_a_follower_makes_no_calls_while_relayed_updates_are_fresh(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
-    assert follower.feed._rest_left() <= 0
+    assert follower.feed._seconds_to_call() <= 0
     exchange(reader, follower)
-    assert follower.feed._rest_left() == pytest.approx(REST)
-    clock.at += REST
-    assert follower.feed._rest_left() <= 0
+    assert follower.feed._seconds_to_call() == pytest.approx(RELAY_VALID_SECONDS)
+    clock.at += RELAY_VALID_SECONDS
+    assert follower.feed._seconds_to_call() <= 0
 
 
-def test_a_daemon_that_the_store_turns_away_goes_on_by_what_others_tell(
+def test_a_daemon_that_the_store_refuses_continues_with_relayed_updates(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -254,18 +254,18 @@
     clock.at += 1.0
     follower.feed.failing_since = clock.at
     reader.feed.store.put("a", b"2")  # type: ignore[attr-defined]
-    reader.feed._step()
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.taken == {"a": b"2"}
+    reader.feed._poll()
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    assert follower.applied == {"a": b"2"}
     assert follower.feed.failing_since is None
-    assert follower.feed._rest_left() > 0
-    # The reader never lost the store: what is gone there is gone, and did not lapse.
+    assert follower.feed._seconds_to_call() > 0
+    # The reader never lost the store, so rows missing there were removed and did not expire in an outage.
     assert follower.feed.recovered_at == 0.0
 
 
-def test_an_update_after_an_outage_says_when_the_store_was_back(
+def test_an_update_after_an_outage_reports_when_the_store_recovered(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     _, reader, follower = hall
@@ -273,57 +273,57 @@
     reader.feed.failing_since = follower.feed.failing_since = clock.at
     clock.at += 3.0
     reader.feed.store.put("a", None)  # type: ignore[attr-defined]
-    reader.feed._step()
+    reader.feed._poll()
     back_at = clock.at
     clock.at += 0.5
-    follower.fanout.watch()
-    reader.fanout.heard_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
-    follower.fanout.heard_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
-    assert follower.taken == {"a": None}
+    follower.fanout.poll_sources()
+    reader.fanout.receive_poll(MemberId("d5"), follower.sent())  # type: ignore[arg-type]
+    follower.fanout.receive_updates(MemberId("d0"), reader.sent())  # type: ignore[arg-type]
+    assert follower.applied == {"a": None}
     assert follower.feed.recovered_at == pytest.approx(back_at)
 
 
-def test_an_answer_of_the_store_older_than_an_update_changes_nothing(
+def test_a_store_answer_older_than_an_update_changes_nothing(
     hall: tuple[Table, Daemon, Daemon], clock: Clock
 ) -> None:
     table, reader, follower = hall
     exchange(reader, follower)
     stale = Changes({"a": msgspec.Raw(b"0")}, table.version)
 
-    def told_meanwhile(*_: object) -> Changes:
+    def update_meanwhile(*_: object) -> Changes:
         table.put("a", b"2")
-        reader.feed._step()
-        follower.feed.hear(*reader.feed.since(None)[:1], None, clock.at)
+        reader.feed._poll()
+        follower.feed.receive(*reader.feed.changes_since(None)[:1], None, clock.at)
         return stale
 
-    follower.feed.store = type("Stale", (), {"changes": told_meanwhile})()
-    follower.feed._step()
-    assert follower.taken == {"a": b"2"}
+    follower.feed.store = type("Stale", (), {"changes": update_meanwhile})()
+    follower.feed._poll()
+    assert follower.applied == {"a": b"2"}
     assert follower.feed.position == at(table.version)
 
 
-def test_a_follower_that_knows_too_little_gets_the_whole_table(hall: tuple[Table, Daemon, Daemon]) -> None:
+def test_a_follower_that_is_too_far_behind_gets_a_snapshot(hall: tuple[Table, Daemon, Daemon]) -> None:
     table, reader, _ = hall
     table.put("a", None)
     reader.feed.position = None
-    reader.feed._step()
-    changes, whole = reader.feed.since(at(1))
+    reader.feed._poll()
+    changes, whole = reader.feed.changes_since(at(1))
     assert whole
     assert changes.rows == {}
 
 
-def test_removed_rows_are_forgotten_at_last(hall: tuple[Table, Daemon, Daemon]) -> None:
+def test_the_number_of_remembered_removed_rows_is_limited(hall: tuple[Table, Daemon, Daemon]) -> None:
     table, reader, _ = hall
-    for n in range(feeds.MAX_REMOVED + 10):
+    for n in range(feeds.MAX_REMOVED_ROWS + 10):
         table.put(f"k{n}", b"1")
         table.put(f"k{n}", None)
-        reader.feed._step()
-    assert len(reader.feed.rows) <= feeds.MAX_REMOVED + 1
-    assert reader.feed.since(at(1))[1]
-    assert not reader.feed.since(at(table.version - 1))[1]
+        reader.feed._poll()
+    assert len(reader.feed.rows) <= feeds.MAX_REMOVED_ROWS + 1
+    assert reader.feed.changes_since(at(1))[1]
+    assert not reader.feed.changes_since(at(table.version - 1))[1]
 
 
-def test_feeds_of_one_store_look_together_when_one_finds_it_lost(
+def test_all_feeds_of_a_store_recheck_it_when_one_loses_it(
     hall: tuple[Table, Daemon, Daemon],
 ) -> None:
     _, reader, follower = hall
@@ -331,55 +331,55 @@
     for feed in (reader.feed, follower.feed):
         feed.task = object()  # type: ignore[assignment]
         feed.start = lambda feed=feed: started.append(feed)  # type: ignore[method-assign]
-    look_together((reader.feed, follower.feed))
-    reader.feed._failed(PlatformUnavailable("no answer", step="read", peer="store"))
+    link_feeds((reader.feed, follower.feed))
+    reader.feed._record_failure(PlatformUnavailable("no answer", step="read", peer="store"))
     assert started == [follower.feed]
     assert follower.feed.failing_since is not None
 
 
-def test_rows_are_packed_and_unpacked() -> None:
+def test_rows_are_encoded_and_decoded() -> None:
     rows = {"a": msgspec.Raw(b'{"x":1}'), "b": None}
-    unpacked = unpack(pack(rows))
-    assert {k: v if v is None else bytes(v) for k, v in unpacked.items()} == {"a": b'{"x":1}', "b": None}
-    assert unpack(pack({})) == {}
+    decoded = decode_rows(encode_rows(rows))
+    assert {k: v if v is None else bytes(v) for k, v in decoded.items()} == {"a": b'{"x":1}', "b": None}
+    assert decode_rows(encode_rows({})) == {}
 
 
-@pytest.mark.parametrize("data", [b"x", pack({"a": None})[:-2]], ids=["no zlib", "cut"])
-def test_updates_that_make_no_sense_are_an_error(data: bytes) -> None:
+@pytest.mark.parametrize("data", [b"x", encode_rows({"a": None})[:-2]], ids=["no zlib", "cut"])
+def test_malformed_updates_raise_an_error(data: bytes) -> None:
     with pytest.raises(PeerError):
-        unpack(data)
+        decode_rows(data)
 
 
-def test_a_follower_asks_a_lost_store_seldom_until_a_reader_has_an_answer() -> None:
+def test_a_follower_calls_a_lost_store_rarely_until_it_becomes_a_reader() -> None:
     table = Table()
     follower = Daemon(table)
-    follower.fanout.assign((MemberId("d0"),))
-    assert follower.feed.max_pause == FOLLOWER_PAUSE
+    follower.fanout.set_sources((MemberId("d0"),))
+    assert follower.feed.max_retry_delay == FOLLOWER_MAX_RETRY_DELAY
     started = time.monotonic()
-    waiting = eventlet.spawn(follower.feed._wait, 30.0)
+    waiting = eventlet.spawn(follower.feed._wait_for_wake, 30.0)
     eventlet.sleep(0)
-    follower.fanout.assign(())
+    follower.fanout.set_sources(())
     waiting.wait()
     assert time.monotonic() - started < 10.0
-    assert follower.feed.max_pause == feeds.MAX_PAUSE
+    assert follower.feed.max_retry_delay == feeds.MAX_RETRY_DELAY
 
 
-def test_a_daemon_at_its_start_waits_a_moment_for_others_to_tell_it(clock: Clock) -> None:
+def test_after_its_first_snapshot_a_daemon_waits_briefly_for_relays(clock: Clock) -> None:
     table = Table()
     daemon = Daemon(table)
-    daemon.fanout.assign((MemberId("d0"),))
-    assert daemon.feed._rest_left() <= 0
-    daemon.feed._step()
-    assert daemon.feed._rest_left() == pytest.approx(feeds.START_REST)
-    daemon.fanout.assign(())
-    assert daemon.feed._rest_left() <= 0
+    daemon.fanout.set_sources((MemberId("d0"),))
+    assert daemon.feed._seconds_to_call() <= 0
+    daemon.feed._poll()
+    assert daemon.feed._seconds_to_call() == pytest.approx(feeds.SNAPSHOT_REST_SECONDS)
+    daemon.fanout.set_sources(())
+    assert daemon.feed._seconds_to_call() <= 0
 
 
-def test_an_update_that_takes_its_sender_out_of_the_roster_is_taken(
+def test_an_update_that_removes_its_sender_from_the_roster_is_applied(
     hall: tuple[Table, Daemon, Daemon],
 ) -> None:
-    # 31.1447 fanout.py heard_updates: del self.asked[member]: KeyError: 'front-hall-c-20', in three
-    # daemons at once; the task that reads the stream of that daemon ended with it.
+    # This update ended the receiving task with a KeyError in ``receive_updates``, on three daemons at once:
+    # applying it made the daemon forget the poll that the update answered.
     table, reader, follower = hall
     follower.feed.apply = lambda changes, whole: follower.fanout.forget(())
     exchange(reader, follower)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -10,14 +10,14 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from bayglade.entries.wire import Sealer, decode_hello
+from bayglade.entries.wire import FrameAuthenticator, decode_hello
 from bayglade.exceptions import InvalidSettings, PeerError
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, MemberId
 from bayglade.leases import Lease
 from bayglade.platform import decode_document, decode_report, decode_server
-from bayglade.roster import MEMBER_PREFIX, SECRET_KEY, MemberRow, Roster, join, read_roster
-from bayglade.rows import Changes, Condition, Row, Transaction, TransactionResult, raw
+from bayglade.roster import MEMBER_PREFIX, SECRET_KEY, MemberRow, Roster, apply_rows, join
+from bayglade.rows import Changes, Condition, Row, Transaction, TransactionResult, encode_value
 from standins.users import configuration
 from tests.server_rows import facts_of, packed, server_row, without
 
@@ -151,7 +151,7 @@
         with pytest.raises(InvalidSettings):
             decode()
     decode_report(data)
-    read_roster({MEMBER_PREFIX + "d": msgspec.Raw(data), SECRET_KEY: msgspec.Raw(data)}, Roster())
+    apply_rows({MEMBER_PREFIX + "d": msgspec.Raw(data), SECRET_KEY: msgspec.Raw(data)}, Roster())
 
 
 @seed(2)
@@ -186,10 +186,10 @@
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.binary(max_size=60) | JSON_VALUES.map(pack_message))
 def test_peer_messages_of_arbitrary_bytes_are_rejected(data: bytes) -> None:
-    sealer = Sealer(b"k" * 32)
+    sealer = FrameAuthenticator(b"k" * 32)
     for frame in ([b"", data], [sealer._digest(data), data], data, [data]):
         with pytest.raises(PeerError):
-            Sealer(b"k" * 32).open(frame)
+            FrameAuthenticator(b"k" * 32).open(frame)
         with pytest.raises(PeerError):
             decode_hello(frame)
 
@@ -207,7 +207,7 @@
         if any(self._version(c) != c.version for c in transaction.conditions):
             return TransactionResult(False)
         for write in transaction.writes:
-            version = self.rows.get(write.key, (0, raw("")))[0] + 1
+            version = self.rows.get(write.key, (0, encode_value("")))[0] + 1
             self.rows[write.key] = (version, write.value)
         return TransactionResult(True)
 
@@ -218,7 +218,7 @@
         raise AssertionError("nobody follows this table")
 
     def _version(self, condition: Condition) -> int:
-        return self.rows.get(condition.key, (0, raw("")))[0]
+        return self.rows.get(condition.key, (0, encode_value("")))[0]
 
 
 def test_an_invalid_lease_row_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -243,4 +243,4 @@
     rows = FakeTable(**{SECRET_KEY.replace("/", "__"): b"17"})
     joined = join(rows, "members", MemberId("d"), MemberRow("10.0.0.1:7000", facts_of().hall))
     assert joined.secret is not None
-    assert read_roster(rows.snapshot("members").rows, Roster()).secret == joined.secret
+    assert apply_rows(rows.snapshot("members").rows, Roster()).secret == joined.secret
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -150,12 +150,12 @@
     made: Any = Membership.__new__(Membership)
     made.me, made.secret, made.rng, made.bytes_out = MemberId("me"), b"s", random.Random(1), 0
     made._heartbeat = lambda member: "heartbeat"
-    made.greet = lambda: [Findings(proven=[fingerprint_of(make_call(), KEY)])]
+    made.first_messages = lambda: [Findings(proven=[fingerprint_of(make_call(), KEY)])]
     task = eventlet.spawn(made._send, Member(MemberId("new"), parse_address("127.0.0.1:1")))
     eventlet.sleep(0)
     eventlet.sleep(0)
     task.kill()
-    assert sent == [*made.greet(), "heartbeat"]
+    assert sent == [*made.first_messages(), "heartbeat"]
 
 
 def test_an_answer_at_the_reporting_daemon_clears_an_interruption_everywhere(clock: Clock) -> None:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bayglade import lending, retries
-from bayglade.entries.wire import Borrow, Lent, Message
+from bayglade.entries.wire import BorrowReply, BorrowRequest, Message
 from bayglade.ids import MemberId
 from bayglade.lending import LOAN_SECONDS, LOAN_SIZE, RetryPools
 from bayglade.retries import RetryBudget
@@ -52,8 +52,10 @@
     pools, sent = make_reader(clock)
     clock.at += WINDOW + LOAN_SECONDS + 0.1
     for number in range(8):
-        pools.handle_borrow(MemberId("d5"), Borrow(number, SERVICE, LOAN_SIZE))
-    assert [message.amount for message in sent if isinstance(message, Lent)] == [LOAN_SIZE] * 5 + [0] * 3
+        pools.handle_borrow(MemberId("d5"), BorrowRequest(number, SERVICE, LOAN_SIZE))
+    assert [message.amount for message in sent if isinstance(message, BorrowReply)] == [LOAN_SIZE] * 5 + [
+        0
+    ] * 3
 
 
 def test_a_loan_is_used_after_the_own_budget_and_expires(clock: ManualClock) -> None:
@@ -68,7 +70,7 @@
 
 def test_an_unexpected_loan_is_ignored(clock: ManualClock) -> None:
     pools, _ = make_reader(clock)
-    pools.handle_lent(MemberId("d1"), Lent(99, LOAN_SIZE))
+    pools.handle_lent(MemberId("d1"), BorrowReply(99, LOAN_SIZE))
     assert pools.pending.waiting == {}
 
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -1,4 +1,4 @@
-"""Readers: who follows the store and whom the others ask, whoever is lost, cut off or turned away."""
+"""Readers: which daemons follow the store and which they poll when some are silent or cut off from it."""
 
 from collections import Counter
 from collections.abc import Callable, Collection
@@ -11,13 +11,13 @@
 from bayglade import fanout, feeds, readers
 from bayglade.ids import HallName, MemberId
 from bayglade.readers import (
-    MOST_UNABLE,
-    READERS,
-    Duty,
-    Lost,
-    Order,
-    make_plan,
-    streams_of,
+    MAX_PASSED_OVER,
+    READER_COUNT,
+    LostDaemons,
+    Ranking,
+    Role,
+    needed_streams,
+    plan_readers,
 )
 from tests import fleets
 from tests.fleets import ROUND_TRIP, Fleet
@@ -25,7 +25,7 @@
 
 DRAIN_SECONDS = 4.0
 KEY_TRUST_SECONDS = 3.8
-"""Age at which settings are no longer trusted with keys, at the users' bound of 5 s."""
+"""Age at which settings are no longer trusted with keys, for the configured bound of 5 s."""
 STEP = 0.1
 
 
@@ -35,12 +35,12 @@
 
 @pytest.mark.parametrize(("daemons", "halls"), [(1, 1), (3, 3), (7, 3), (23, 5), (195, 5), (440, 11)])
 def test_few_follow_the_store_whatever_the_number_of_daemons(daemons: int, halls: int) -> None:
-    order = Order(fleet(daemons, halls))
-    plans = {name: make_plan(name, order, (), ()) for name in order.site}
-    duties = [plan.duty for plan in plans.values()]
-    assert duties.count(Duty.SITE) == min(READERS, daemons)
-    assert daemons - duties.count(Duty.FOLLOWER) <= READERS * halls
-    assert all(len(plan.asks) <= READERS for plan in plans.values())
+    ranking = Ranking(fleet(daemons, halls))
+    plans = {name: plan_readers(name, ranking, (), ()) for name in ranking.ranked}
+    roles = [plan.role for plan in plans.values()]
+    assert roles.count(Role.SITE_READER) == min(READER_COUNT, daemons)
+    assert daemons - roles.count(Role.FOLLOWER) <= READER_COUNT * halls
+    assert all(len(plan.sources) <= READER_COUNT for plan in plans.values())
 
 
 @given(
@@ -50,45 +50,47 @@
     st.sets(st.integers(0, 59), max_size=50),
 )
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_questions_never_run_in_a_circle(
-    daemons: int, halls: int, lost: set[int], unable: set[int]
+def test_polls_never_form_a_cycle(
+    daemons: int, halls: int, lost: set[int], without_store: set[int]
 ) -> None:
-    order = Order(fleet(daemons, halls))
-    place = {name: n for n, name in enumerate(order.site)}
+    ranking = Ranking(fleet(daemons, halls))
+    place = {name: n for n, name in enumerate(ranking.ranked)}
     gone = {MemberId(f"front-{n}") for n in lost}
-    refused = {MemberId(f"front-{n}") for n in unable}
-    for name in order.site:
-        plan = make_plan(name, order, gone - {name}, refused - {name})
-        assert all(place[asked] < place[name] for asked in plan.asks)
-        assert not gone & set(plan.asks)
+    refused = {MemberId(f"front-{n}") for n in without_store}
+    for name in ranking.ranked:
+        plan = plan_readers(name, ranking, gone - {name}, refused - {name})
+        assert all(place[asked] < place[name] for asked in plan.sources)
+        assert not gone & set(plan.sources)
 
 
-def test_streams_are_mutual_while_all_see_the_same() -> None:
-    order = Order(fleet(60, 4))
-    plans = {name: make_plan(name, order, (), ()) for name in order.site}
-    wanted = {name: streams_of(name, order, plans[name]) for name in order.site}
+def test_streams_are_mutual_while_all_have_the_same_view() -> None:
+    ranking = Ranking(fleet(60, 4))
+    plans = {name: plan_readers(name, ranking, (), ()) for name in ranking.ranked}
+    wanted = {name: needed_streams(name, ranking, plans[name]) for name in ranking.ranked}
     assert all(name in wanted[other] for name in wanted for other in wanted[name])
     most = max(len(streams) for streams in wanted.values())
-    assert most <= 60 / 4 + READERS * 4
+    assert most <= 60 / 4 + READER_COUNT * 4
 
 
-def test_daemons_that_the_store_turns_away_are_passed_over() -> None:
-    order = Order(fleet(30, 3))
-    first = order.site[0]
-    plan = make_plan(order.site[20], order, (), {first})
-    assert all(first not in names for names in plan.readers.values())
+def test_daemons_without_the_store_are_passed_over_as_readers() -> None:
+    ranking = Ranking(fleet(30, 3))
+    first = ranking.ranked[0]
+    plan = plan_readers(ranking.ranked[20], ranking, (), {first})
+    assert all(first not in names for names in plan.hall_readers.values())
 
 
-def test_when_many_are_without_the_store_it_is_lost_and_nobody_takes_turns() -> None:
-    order = Order(fleet(30, 1))
-    unable = order.site[: READERS + MOST_UNABLE]
-    assert make_plan(order.site[-1], order, (), unable).asks == tuple(order.site[:READERS])
+def test_readers_stay_when_too_many_daemons_are_without_the_store() -> None:
+    ranking = Ranking(fleet(30, 1))
+    without_store = ranking.ranked[: READER_COUNT + MAX_PASSED_OVER]
+    assert plan_readers(ranking.ranked[-1], ranking, (), without_store).sources == tuple(
+        ranking.ranked[:READER_COUNT]
+    )
 
 
-def test_a_daemon_that_fell_silent_is_asked_again_once_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_daemon_becomes_eligible_again_once_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     at = 100.0
     monkeypatch.setattr(readers, "now", lambda: at)
-    lost, member = Lost(), MemberId("a")
+    lost, member = LostDaemons(), MemberId("a")
     lost.update([member], {member: 90.0})
     assert member in lost.since
     at += 1.0
@@ -100,17 +102,17 @@
 
 DAEMONS, HALLS = 200, 5
 SETTLED_SECONDS = 8.0
-"""Time after the start in which daemons find each other."""
+"""Seconds after the start in which daemons find each other."""
 
-QUICK_TABLES = 2
-"""Tables that followers may not go without for longer than a few seconds."""
+URGENT_TABLES = 2
+"""Tables that followers may miss for a few seconds at most."""
 
-CALLS_A_SECOND = 4.0 * QUICK_TABLES
-"""Two readers of the site and a call each 1.6 s for each table, with as much again to spare."""
+CALLS_PER_SECOND = 4.0 * URGENT_TABLES
+"""Two readers of the site with one call per table every 1.6 s, and as much again in reserve."""
 
 
-def in_fleet(monkeypatch: pytest.MonkeyPatch, scenario: Callable[[Fleet], None]) -> None:
-    """Run a scenario with many daemons that have settled, in virtual time."""
+def run_in_fleet(monkeypatch: pytest.MonkeyPatch, scenario: Callable[[Fleet], None]) -> None:
+    """Run a scenario in virtual time, with many daemons that have settled."""
     fleets.patch_clock(monkeypatch)
 
     def run() -> None:
@@ -123,22 +125,23 @@
 
 
 def refuse(fleet: Fleet, members: Collection[MemberId]) -> None:
-    """Have the store turn away some daemons, and no others."""
-    turned = set(members)
-    fleet.store.refuses = lambda member, table: ROUND_TRIP if member in turned else None
+    """Make the store refuse the calls of these daemons only."""
+    refused = set(members)
+    fleet.store.call_fault = lambda member, table: ROUND_TRIP if member in refused else None
 
 
 def calls_within(fleet: Fleet, seconds: float) -> int:
-    """Return how many calls of the store there are while all stays fresh."""
+    """Return the number of calls of the store while all tables stay fresh."""
     before = fleet.store.calls.total()
     assert_fresh(fleet, seconds)
     return fleet.store.calls.total() - before
 
 
 def assert_fresh(fleet: Fleet, seconds: float) -> None:
-    """Run for a while; a change made at its start is known everywhere, and nobody's knowledge gets old."""
+    """Run for a while; check that a change made at the start is known everywhere and no copy gets too
+    old."""
     fleet.store.versions["document"] += 1
-    fleet.leave()
+    fleet.announce_leave()
     oldest = 0.0
     for _ in range(int(seconds / STEP)):
         eventlet.sleep(STEP)
@@ -149,70 +152,74 @@
     assert oldest < KEY_TRUST_SECONDS
 
 
-def test_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_store_calls_do_not_grow_with_daemons(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        assert calls_within(fleet, 10.0) <= 10.0 * CALLS_A_SECOND
-        duties = Counter(daemon.plan.duty for daemon in fleet.live())
-        assert duties[Duty.SITE] == READERS
+        assert calls_within(fleet, 10.0) <= 10.0 * CALLS_PER_SECOND
+        roles = Counter(daemon.plan.role for daemon in fleet.live())
+        assert roles[Role.SITE_READER] == READER_COUNT
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("places", [(0, 1), (0, 2), (1, 5), (3, 100), (0, 1, 2, 3)])
-def test_knowledge_stays_fresh_when_any_readers_are_lost(
+def test_tables_stay_fresh_when_any_readers_are_lost(
     places: tuple[int, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def scenario(fleet: Fleet) -> None:
-        halls = fleet.daemons[fleet.order.site[-1]].plan.readers
-        fleet.mute = {fleet.order.site[place] for place in places}
-        # Both readers lost at once, of the site or of a hall, leave those who ask them without word for
-        # as long as it takes to notice.
-        without = sum(len(fleet.order.by_hall[h]) for h, names in halls.items() if fleet.mute >= set(names))
+        halls = fleet.daemons[fleet.ranking.ranked[-1]].plan.hall_readers
+        fleet.muted = {fleet.ranking.ranked[place] for place in places}
+        # If both readers of the site or of a hall are lost at once, the daemons that poll them get no
+        # updates until they notice.
+        uninformed = sum(
+            len(fleet.ranking.by_hall[h]) for h, names in halls.items() if fleet.muted >= set(names)
+        )
         if {0, 1} <= set(places):
-            without = DAEMONS
-        assert calls_within(fleet, 8.0) <= 8.0 * CALLS_A_SECOND + QUICK_TABLES * without
+            uninformed = DAEMONS
+        assert calls_within(fleet, 8.0) <= 8.0 * CALLS_PER_SECOND + URGENT_TABLES * uninformed
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
-def test_a_hall_that_loses_both_readers_has_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_hall_that_loses_both_readers_gets_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        hall = fleet.order.by_hall[HallName("h2")]
-        fleet.mute = set(hall[:READERS])
+        hall = fleet.ranking.by_hall[HallName("h2")]
+        fleet.muted = set(hall[:READER_COUNT])
         assert_fresh(fleet, 8.0)
-        assert fleet.daemons[hall[-1]].plan.asks == tuple(hall[READERS : 2 * READERS])
+        assert fleet.daemons[hall[-1]].plan.sources == tuple(hall[READER_COUNT : 2 * READER_COUNT])
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
-def test_daemons_that_the_store_turns_away_hear_from_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_daemons_that_the_store_refuses_get_updates_from_others(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        refuse(fleet, fleet.order.site[:1] + fleet.order.site[10:80])
+        refuse(fleet, fleet.ranking.ranked[:1] + fleet.ranking.ranked[10:80])
         assert_fresh(fleet, 10.0)
         refuse(fleet, ())
         assert_fresh(fleet, 5.0)
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
-def test_when_both_readers_of_the_site_are_turned_away_others_take_over(
+def test_others_take_over_when_the_store_refuses_both_site_readers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(fleet: Fleet) -> None:
-        refuse(fleet, fleet.order.site[:READERS])
-        assert calls_within(fleet, 10.0) <= 10.0 * (2 * CALLS_A_SECOND + READERS / feeds.MAX_PAUSE)
+        refuse(fleet, fleet.ranking.ranked[:READER_COUNT])
+        assert calls_within(fleet, 10.0) <= 10.0 * (
+            2 * CALLS_PER_SECOND + READER_COUNT / feeds.MAX_RETRY_DELAY
+        )
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
-def test_a_lost_store_is_not_called_by_everybody_all_the_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_to_a_lost_store_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        refuse(fleet, fleet.order.site)
+        refuse(fleet, fleet.ranking.ranked)
         before = fleet.store.calls.copy()
         eventlet.sleep(10.0)
         made = fleet.store.calls - before
-        often = (READERS + MOST_UNABLE) / feeds.MAX_PAUSE
-        seldom = DAEMONS / fanout.FOLLOWER_PAUSE
+        often = (READER_COUNT + MAX_PASSED_OVER) / feeds.MAX_RETRY_DELAY
+        seldom = DAEMONS / fanout.FOLLOWER_MAX_RETRY_DELAY
         for table in fleets.TABLES:
             calls = sum(count for (_, asked), count in made.items() if asked == table)
             assert calls <= 10.0 * (often + seldom) + 3 * DAEMONS
@@ -220,24 +227,24 @@
         eventlet.sleep(2.0)
         assert_fresh(fleet, 5.0)
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
-def test_a_rolling_restart_leaves_nobody_without_word(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rolling_restart_keeps_all_daemons_up_to_date(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(fleet: Fleet) -> None:
-        for name in fleet.order.site[:30]:
-            fleet.mute = {name}
+        for name in fleet.ranking.ranked[:30]:
+            fleet.muted = {name}
             eventlet.sleep(1.0)
             fleet.restart(name)
-        fleet.mute = set()
+        fleet.muted = set()
         assert_fresh(fleet, 5.0)
 
-    in_fleet(monkeypatch, scenario)
+    run_in_fleet(monkeypatch, scenario)
 
 
-def test_daemons_with_quick_links_read_for_the_others() -> None:
+def test_daemons_with_fast_links_become_readers() -> None:
     halls = fleet(40, 2)
-    quick = {name for n, name in enumerate(halls) if n % 5 == 0}
-    order = Order(halls, {name: 100.0 if name in quick else 10.0 for name in halls})
-    plan = make_plan(order.site[-1], order, (), ())
-    assert {name for names in plan.readers.values() for name in names} <= quick
+    fast = {name for n, name in enumerate(halls) if n % 5 == 0}
+    ranking = Ranking(halls, {name: 100.0 if name in fast else 10.0 for name in halls})
+    plan = plan_readers(ranking.ranked[-1], ranking, (), ())
+    assert {name for names in plan.hall_readers.values() for name in names} <= fast
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -121,7 +121,7 @@
         fleet.apply_changes([facts_of(backend)], [], outage=False)
         fleet.set_rest(fleet.servers[backend], REST)
         fleet.apply_changes([], [backend], outage=False)
-    assert len(fleet.tombstones.known) == MAX_TOMBSTONES
+    assert len(fleet.tombstones.by_incarnation) == MAX_TOMBSTONES
 
 
 class Connections:
--- a/tests/test_totals.py
+++ b/tests/test_totals.py
@@ -5,7 +5,7 @@
 from bayglade import totals
 from bayglade.entries.wire import Heartbeat, ServerLoad
 from bayglade.ids import BackendId, HallName, MemberId, Revision, ServerKey
-from bayglade.readers import Order, make_plan, streams_of
+from bayglade.readers import Ranking, needed_streams, plan_readers
 from bayglade.totals import REPORT_MAX_AGE_SECONDS, STARTUP_SECONDS, LoadTotals
 
 HALLS = {MemberId(f"{hall}{n:02}"): HallName(hall) for hall in "ab" for n in range(10)}
@@ -23,11 +23,11 @@
     return {load.key: load for load in loads(**counts)}
 
 
-PLANS = {name: make_plan(name, Order(HALLS), (), ()) for name in HALLS}
+PLANS = {name: plan_readers(name, Ranking(HALLS), (), ()) for name in HALLS}
 
 
 def readers(hall: str) -> tuple[MemberId, ...]:
-    return next(iter(PLANS.values())).readers[HallName(hall)]
+    return next(iter(PLANS.values())).hall_readers[HallName(hall)]
 
 
 def make_totals() -> dict[MemberId, LoadTotals]:
@@ -35,7 +35,7 @@
     daemons = {name: LoadTotals(name) for name in HALLS}
     for name, daemon in daemons.items():
         daemon.started_at -= STARTUP_SECONDS
-        daemon.assign(HALLS, PLANS[name].readers)
+        daemon.assign(HALLS, PLANS[name].hall_readers)
     return daemons
 
 
@@ -43,12 +43,12 @@
     daemons: dict[MemberId, LoadTotals], own: dict[MemberId, list[ServerLoad]], count: int
 ) -> None:
     """Have daemons send heartbeats on their streams."""
-    order = Order(HALLS)
+    order = Ranking(HALLS)
     for _ in range(count):
         for name, daemon in daemons.items():
             daemon.update_sums(own[name])
         for name, daemon in daemons.items():
-            for other in streams_of(name, order, PLANS[name]) & daemons.keys():
+            for other in needed_streams(name, order, PLANS[name]) & daemons.keys():
                 sums = daemon.for_member(other)
                 message = beat(loads=sums.own, hall_loads=sums.hall, all_loads=sums.everywhere)
                 daemons[other].merge_heartbeat(name, message)
@@ -96,7 +96,7 @@
     follower = next(name for name in HALLS if HALLS[name] == "a" and name not in readers("a"))
     daemon = LoadTotals(follower)
     assert daemon.other_daemons(loads(h=2)) == {}
-    daemon.assign(HALLS, PLANS[follower].readers)
+    daemon.assign(HALLS, PLANS[follower].hall_readers)
     assert daemon.other_daemons(loads(h=2)) == by_server({"h": 18})
     at += STARTUP_SECONDS
     assert daemon.other_daemons(loads(h=2)) == {}
