--- a/bayglade/calls.py
+++ b/bayglade/calls.py
@@ -6,7 +6,7 @@
 
 from bayglade.clock import now
 from bayglade.endpoints import Endpoint
-from bayglade.heads import Headers, Message
+from bayglade.http1 import Headers, Message
 from bayglade.ids import BackendId, Fingerprint, GroupPath, RequestId, ServiceName
 from bayglade.models import Route
 from bayglade.pipelines import Demand, Pipeline
@@ -70,7 +70,7 @@
     """
     head = call.head
     if not head.prompt_tokens:
-        return pipeline.usual()
+        return pipeline.typical_request()
     expected = head.answer_hint if head.answer_hint is not None else pipeline.typical_answer
     return Demand(float(head.prompt_tokens), float(min(head.answer_tokens, expected)))
 
--- a/bayglade/cli.py
+++ b/bayglade/cli.py
@@ -1,4 +1,4 @@
-"""The program ``bayglade``: the daemon and the commands of operators."""
+"""The command line program ``bayglade``: runs the daemons and the operators' commands."""
 
 import argparse
 import os
@@ -6,24 +6,24 @@
 import warnings
 from pathlib import Path
 
-GREEN_COMMANDS = ("entry", "gateway", "load")
-"""Commands that serve many connections at once."""
+GREEN_SOCKET_COMMANDS = ("entry", "gateway", "load")
+"""Commands that serve many connections at once and therefore run on eventlet's green sockets."""
 
 
 def main() -> None:
-    """Run the program; the green commands get green sockets before anything is imported."""
-    # The library says at import that it only mends bugs by now (docs/design/clashes.md).
+    """Run the program, patching the socket module before other imports for commands that need it."""
+    # eventlet warns on import that it is in maintenance mode; see docs/design/clashes.md.
     warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
     command, arguments = (sys.argv[1:] or [""])[0], sys.argv[2:]
     if command == "gateway" and arguments:
-        # `gateway check` is a command of its own and serves nobody.
+        # `gateway check` is a separate command, which needs no green sockets.
         command = "gateway check"
-    if command in GREEN_COMMANDS:
-        # Addresses are IP numbers: green name look-ups would cost 12 MB for nothing.
+    if command in GREEN_SOCKET_COMMANDS:
+        # Addresses are IP literals; eventlet's green DNS resolver would take 12 MB and never be used.
         os.environ["EVENTLET_NO_GREENDNS"] = "yes"
-        _patch()
+        _monkey_patch()
     if command == "entry":
-        # The daemon does without the command line library, which would cost it 4 MB.
+        # Daemons parse their arguments themselves: the command line library would take 4 MB of memory.
         sys.exit(run_entry(arguments))
     if command == "gateway":
         sys.exit(run_gateway())
@@ -33,9 +33,9 @@
 
 
 def run_entry(arguments: list[str]) -> int:
-    """Run the entry daemon until it is told to stop.
+    """Run the entry daemon until a termination signal.
 
-    :param arguments: what stands after ``bayglade entry``.
+    :param arguments: the arguments after ``bayglade entry``.
     :return: the exit code.
     """
     from bayglade.config import load_config
@@ -43,7 +43,9 @@
     from bayglade.exceptions import BaygladeError
 
     parser = argparse.ArgumentParser(prog="bayglade entry", description="Run the entry daemon.")
-    parser.add_argument("-c", "--config", type=Path, required=True, help="its own settings, a YAML file")
+    parser.add_argument(
+        "-c", "--config", type=Path, required=True, help="settings file of the daemon (YAML)"
+    )
     try:
         create_daemon(load_config(parser.parse_args(arguments).config)).run()
     except (BaygladeError, OSError) as error:
@@ -53,7 +55,7 @@
 
 
 def run_gateway() -> int:
-    """Run the daemon on the users' platform until it is told to stop.
+    """Run the daemon on the users' platform until a termination signal.
 
     :return: the exit code.
     """
@@ -69,7 +71,7 @@
     return 0
 
 
-def _patch() -> None:
+def _monkey_patch() -> None:
     import eventlet
 
     eventlet.monkey_patch()
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: puts the parts together, runs their tasks, stops in order."""
+"""The entry daemon: creates the components, runs their tasks and shuts down gracefully."""
 
 import random
 import signal
@@ -10,7 +10,7 @@
 
 from bayglade import callers, logs
 from bayglade.claims import Claims
-from bayglade.clock import keep_timers, now
+from bayglade.clock import now, use_boottime_timers
 from bayglade.config import Config, parse_address
 from bayglade.directory import Directory
 from bayglade.engines import create_engines
@@ -42,13 +42,18 @@
 
 TICK_INTERVAL = 0.25
 PROBES_PER_SECOND = 2.0
-LATE_TICK = 0.5
+"""Rate at which this daemon asks backend servers for their load."""
+LATE_TICK_SECONDS = 0.5
+"""Delay of a tick above which the event loop is logged as late."""
 PLATFORM_POLLS_PER_SECOND = 200.0
-"""Polls of the platform that all daemons together allow themselves, of either kind."""
+"""Upper limit on polls of the platform by all daemons together, for the host list and for the settings
+each."""
 HOSTS_POLL_FACTOR = 2.0
-HEARD_POLL_FACTOR = 5.0
-DRAIN_POLL = 0.05
-PLACE_INTERVAL = 1.0
+"""Poll interval of the host list, as a multiple of ``poll_interval``."""
+LIVE_PEERS_POLL_FACTOR = 5.0
+"""Poll interval of the settings while other daemons are heard, as a multiple of ``poll_interval``."""
+DRAIN_POLL_INTERVAL = 0.05
+PLACEMENT_INTERVAL = 1.0
 HEALTH_PATH = "/healthz"
 READY_PATH = "/readyz"
 ADMIN_PREFIX = "/admin/"
@@ -56,7 +61,7 @@
 
 
 class Daemon:
-    """One entry daemon."""
+    """An entry daemon."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -87,9 +92,9 @@
             self.revisions,
             self.router.usage,
             self.metrics,
-            self._leaving,
-            self.placer.recent,
-            self._heard,
+            self._reported_leaving,
+            self.placer.recently_confirmed,
+            self._apply_heartbeat,
             self.rng,
         )
         self.presence = Presence(self.metrics)
@@ -97,9 +102,9 @@
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
         self.operators = Operators(config.member, self.router, self.revisions, self.membership, self.ready)
-        self.before: Current = self.revisions.current
-        self.stopping = Event()
-        self.own_leaving: set[BackendId] = set()
+        self.previous_settings: Current = self.revisions.current
+        self.shutdown_requested = Event()
+        self.reported_leaving: set[BackendId] = set()
         self.listed_leaving: set[BackendId] = set()
         self.heard_leaving: dict[BackendId, float] = {}
 
@@ -107,30 +112,30 @@
         return f"<Daemon {self.config.member} {self.router!r}>"
 
     def run(self) -> None:
-        """Serve until told to stop, then stop in order.
+        """Serve until a termination signal, then drain and exit.
 
-        :raises OSError: when an address cannot be listened on.
+        :raises OSError: if a listening address can't be bound.
         """
-        logs.set_up(self.config.member, self.config.log_format, self.config.log_level)
-        keep_timers()
+        logs.configure_logging(self.config.member, self.config.log_format, self.config.log_level)
+        use_boottime_timers()
         callers_socket = _listen(self.config.callers)
         entries_socket = _listen(self.config.entries)
-        self._on_signals()
-        tasks = (self._poll_hosts, self._poll_settings, self._probe, self._tick, self._place)
+        self._install_signal_handlers()
+        tasks = (self._poll_hosts, self._poll_settings, self._probe_loads, self._tick, self._run_placement)
         for task in (*tasks, self.presence.run):
             eventlet.spawn_n(task)
         eventlet.spawn_n(self.membership.serve, entries_socket)
         server = eventlet.spawn(self._serve, callers_socket)
         event("INFO", "started", callers=self.config.callers, entries=self.config.entries)
-        self.stopping.wait()
+        self.shutdown_requested.wait()
         self._drain(server)
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the balancer should send callers to this daemon."""
         return not self.membership.draining and self.trust.good()
 
     def application(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
-        """Serve one HTTP request (PEP 3333)."""
+        """Serve one HTTP request (WSGI, PEP 3333)."""
         started = now()
         try:
             response = self._respond(environ)
@@ -138,12 +143,12 @@
             response = error_response(error)
             self.metrics.count(f"errors.{error.code}")
             event("INFO", "request failed", path=environ["PATH_INFO"], error=repr(error))
-        except Exception as error:  # noqa: BLE001 - no traceback may reach a caller
-            event("ERROR", "request broke", path=environ["PATH_INFO"], error=repr(error))
-            response = error_response(BaygladeError("an error inside the daemon", step="respond"))
+        except Exception as error:  # noqa: BLE001 - callers must not see a traceback
+            event("ERROR", "unexpected error in a request", path=environ["PATH_INFO"], error=repr(error))
+            response = error_response(BaygladeError("internal error of the daemon", step="respond"))
         self.metrics.count("requests")
-        self.metrics.time("request.first_byte", now() - started)
-        # A body that was not read to its end would be taken for the next request.
+        self.metrics.send_timing("request.first_byte", now() - started)
+        # The unread rest of a body would be parsed as the next request.
         close = self.membership.draining or response.status in (400, 413)
         return start(response, environ, start_response, close)
 
@@ -160,94 +165,96 @@
     def _serve(self, sock: socket.socket) -> None:
         callers.serve(sock, self.application, self.config.max_connections, self.config.header_timeout)
 
-    def _on_signals(self) -> None:
-        def told(_: int, __: object) -> None:
-            # A signal arrives between any two steps: only pass it on.
-            eventlet.hubs.get_hub().schedule_call_global(0, self._stop)
+    def _install_signal_handlers(self) -> None:
+        def schedule_shutdown(_: int, __: object) -> None:
+            # A signal interrupts the code at any point, so the handler only schedules the action.
+            eventlet.hubs.get_hub().schedule_call_global(0, self._handle_termination)
 
-        signal.signal(signal.SIGTERM, told)
-        signal.signal(signal.SIGINT, told)
+        signal.signal(signal.SIGTERM, schedule_shutdown)
+        signal.signal(signal.SIGINT, schedule_shutdown)
 
-    def _stop(self) -> None:
-        if not self.stopping.ready():
-            self.stopping.send()
+    def _handle_termination(self) -> None:
+        if not self.shutdown_requested.ready():
+            self.shutdown_requested.send()
             return
-        event("WARNING", "told twice to stop", cut=list(self.router.active))
+        event(
+            "WARNING", "second termination signal, exiting at once", cut=list(self.router.active_requests)
+        )
         raise SystemExit(1)
 
     def _drain(self, server: eventlet.greenthread.GreenThread) -> None:
-        """Stop in order: unready first, then no new connections, then wait for answers."""
+        """Fail readiness, stop accepting connections, then wait for requests in flight."""
         self.membership.draining = True
         self.membership.beat()
-        event("INFO", "stopping", in_flight=len(self.router.active))
+        event("INFO", "stopping", in_flight=len(self.router.active_requests))
         eventlet.sleep(self.config.balancer_delay)
         server.kill()
-        until = now() + self.config.drain_limit
-        while self.router.active and now() < until:
-            eventlet.sleep(DRAIN_POLL)
-        if self.router.active:
-            event("WARNING", "stopping cuts requests", cut=list(self.router.active))
-        # Answers that are made are still being written, and claims kept.
-        with eventlet.Timeout(max(0.1, until - now()), False):
+        drain_deadline = now() + self.config.drain_limit
+        while self.router.active_requests and now() < drain_deadline:
+            eventlet.sleep(DRAIN_POLL_INTERVAL)
+        if self.router.active_requests:
+            event("WARNING", "drain timed out, aborting requests", cut=list(self.router.active_requests))
+        # Finished answers may still be being sent, and their claims stored.
+        with eventlet.Timeout(max(0.1, drain_deadline - now()), False):
             server.wait()
             self._wait_for_claims()
         event("INFO", "stopped")
 
     def _wait_for_claims(self) -> None:
-        while self.router.claims.busy():
-            eventlet.sleep(DRAIN_POLL)
+        while self.router.claims.is_writing():
+            eventlet.sleep(DRAIN_POLL_INTERVAL)
 
     def _settings_changed(self, current: Current) -> None:
-        before, self.before = self.before, current
+        previous, self.previous_settings = self.previous_settings, current
         self.router.sync(current.tree)
         directory = Directory(current.tree)
         self.callers.directory = directory
         self.operators.directory = directory
         self.engines.forget({backend.address for backend in current.tree.backends.values()})
-        self._mark_leaving()
-        self.membership.changed(before, current)
+        self._update_leaving()
+        self.membership.changed(previous, current)
         self.metrics.gauge("settings.revision", current.revision)
 
     def _poll_hosts(self) -> None:
-        """Ask the platform for the host list now and then."""
+        """Poll the platform's host list; never returns."""
         while True:
-            self._try("hosts", self._take_hosts)
-            self._pause(HOSTS_POLL_FACTOR)
+            self._log_platform_errors("hosts", self._sync_hosts)
+            self._sleep_until_next_poll(HOSTS_POLL_FACTOR)
 
     def _poll_settings(self) -> None:
-        """Ask the platform for the head: seldom while other daemons would tell of it."""
+        """Poll the head of the settings; less often while other daemons would announce a new one."""
         while True:
-            self._try("settings", self.revisions.poll)
-            heard = self.membership.live() and self.revisions.current.revision
-            self._pause(HEARD_POLL_FACTOR if heard else 1.0)
-
-    def _pause(self, factor: float) -> None:
-        """Wait for the next poll, longer the more daemons share the platform."""
-        crowd = len(self.membership.listed) / PLATFORM_POLLS_PER_SECOND
-        interval = max(self.config.poll_interval * factor, crowd)
+            self._log_platform_errors("settings", self.revisions.poll)
+            has_live_peers = self.membership.live() and self.revisions.current.revision
+            self._sleep_until_next_poll(LIVE_PEERS_POLL_FACTOR if has_live_peers else 1.0)
+
+    def _sleep_until_next_poll(self, factor: float) -> None:
+        """Sleep until the next poll; the interval grows with the number of daemons on the platform."""
+        min_interval = len(self.membership.listed) / PLATFORM_POLLS_PER_SECOND
+        interval = max(self.config.poll_interval * factor, min_interval)
         eventlet.sleep(interval * self.rng.uniform(0.8, 1.2))
 
-    def _try(self, what: str, ask: Callable[[], None]) -> None:
+    def _log_platform_errors(self, what: str, operation: Callable[[], None]) -> None:
         try:
-            ask()
+            operation()
         except BaygladeError as error:
             self.metrics.count(f"platform.{what}_failed")
-            event("WARNING", "platform failed", what=what, error=repr(error))
+            event("WARNING", "platform request failed", what=what, error=repr(error))
 
-    def _take_hosts(self) -> None:
+    def _sync_hosts(self) -> None:
         hosts = self.platform.hosts()
         entries = {h.id: h.address for h in hosts if h.kind is HostKind.ENTRY}
         self.membership.sync(entries)  # type: ignore[arg-type]
-        gone = {h.id for h in hosts if h.kind is HostKind.BACKEND and h.state is HostState.LEAVING}
-        self.listed_leaving = {BackendId(host) for host in gone}
-        self._mark_leaving()
+        leaving_hosts = {h.id for h in hosts if h.kind is HostKind.BACKEND and h.state is HostState.LEAVING}
+        self.listed_leaving = {BackendId(host) for host in leaving_hosts}
+        self._update_leaving()
 
-    def _leaving(self) -> list[BackendId]:
-        """List the servers that said here that they leave, for the other daemons."""
-        return sorted(self.own_leaving)
+    def _reported_leaving(self) -> list[BackendId]:
+        """Return the servers that reported to this daemon that they are leaving, for the other daemons."""
+        return sorted(self.reported_leaving)
 
-    def _heard(self, member: MemberId, beat: Heartbeat) -> None:
-        """Take in what another daemon says of backend servers."""
+    def _apply_heartbeat(self, member: MemberId, beat: Heartbeat) -> None:
+        """Apply what another daemon's heartbeat says about backend servers."""
         states = self.router.backends.states
         for backend in beat.leaving:
             self.heard_leaving[backend] = now()
@@ -255,72 +262,72 @@
                 states[backend].leaving = True
         for held in beat.held:
             if held.backend in states:
-                states[held.backend].hold(held.version)
+                states[held.backend].set_version(held.version)
 
-    def _place(self) -> None:
-        """Give the orders of placement that fall to this daemon, for ever."""
+    def _run_placement(self) -> None:
+        """Run placement, giving the orders that fall to this daemon; never returns."""
         while True:
-            eventlet.sleep(PLACE_INTERVAL * self.rng.uniform(0.8, 1.2))
+            eventlet.sleep(PLACEMENT_INTERVAL * self.rng.uniform(0.8, 1.2))
             if self.trust.good() and not self.membership.draining:
-                self._try("placement", lambda: self.placer.run_once(self.router.tree))
+                self._log_platform_errors("placement", lambda: self.placer.run_once(self.router.tree))
 
-    def _mark_leaving(self) -> None:
-        """Bring together what the host list, other daemons and the servers say."""
-        since = now() - LOST_AFTER
-        self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > since}
+    def _update_leaving(self) -> None:
+        """Mark servers as leaving by the host list, other daemons' heartbeats and their own reports."""
+        cutoff = now() - LOST_AFTER
+        self.heard_leaving = {b: at for b, at in self.heard_leaving.items() if at > cutoff}
         elsewhere = self.listed_leaving | self.heard_leaving.keys()
         self.router.leaving = elsewhere
         for state in self.router.backends.states.values():
-            said = state.reported is not None and state.reported.leaving
-            if said:
-                self.own_leaving.add(state.id)
-            state.leaving = said or state.id in elsewhere
+            reports_leaving = state.reported is not None and state.reported.leaving
+            if reports_leaving:
+                self.reported_leaving.add(state.id)
+            state.leaving = reports_leaving or state.id in elsewhere
 
-    def _probe(self) -> None:
-        """Ask servers for their load in turn, a bounded number a second."""
+    def _probe_loads(self) -> None:
+        """Ask the servers for their load in turn, at a bounded rate; never returns."""
         while True:
             for state in list(self.router.backends.states.values()):
                 eventlet.sleep(1.0 / PROBES_PER_SECOND)
                 load = self.engines.load(state.facts.address)
                 if load is not None:
-                    self.router.backends.report(state.id, load)
+                    self.router.backends.apply_report(state.id, load)
                 if load is not None and load.leaving:
-                    self.own_leaving.add(state.id)
+                    self.reported_leaving.add(state.id)
                 elif load is not None:
-                    self.own_leaving.discard(state.id)
+                    self.reported_leaving.discard(state.id)
             eventlet.sleep(1.0 / PROBES_PER_SECOND)
 
     def _tick(self) -> None:
-        """Look after what depends on time alone."""
+        """Run the periodic work that depends on time alone; never returns."""
         while True:
             due = now() + TICK_INTERVAL
             eventlet.sleep(TICK_INTERVAL)
             late = now() - due
             self.metrics.gauge("loop.late_seconds", late)
-            if late > LATE_TICK:
-                event("WARNING", "the loop was late", seconds=round(late, 3))
+            if late > LATE_TICK_SECONDS:
+                event("WARNING", "event loop is late", seconds=round(late, 3))
             self.membership.watch()
-            self._mark_leaving()
-            self.router.divide(len(self.membership.live()) + 1)
+            self._update_leaving()
+            self.router.update_capacity_fraction(len(self.membership.live()) + 1)
             self.router.admission.fail_uncovered()
             self.router.admission.dispatch_all()
 
 
 def create_daemon(config: Config) -> Daemon:
-    """Build a daemon; it does nothing until :meth:`Daemon.run`.
+    """Create a daemon, without starting it.
 
-    :param config: the daemon's own settings.
-    :return: the daemon.
+    :param config: the daemon's local settings.
+    :return: the daemon; :meth:`Daemon.run` starts it.
     """
     return Daemon(config)
 
 
 def _listen(address: str) -> socket.socket:
-    where = parse_address(address)
-    # Without reuse_port=False two daemons could share a port without a word.
+    listen_on = parse_address(address)
+    # With eventlet's default of reuse_port, two daemons could silently share a port.
     sock: socket.socket = eventlet.listen(
-        (where.host, where.port), backlog=LISTEN_BACKLOG, reuse_port=False
+        (listen_on.host, listen_on.port), backlog=LISTEN_BACKLOG, reuse_port=False
     )
-    # Accepted connections take this over: a token must not wait for an acknowledgement.
+    # Inherited by accepted connections: Nagle's algorithm would delay tokens until an acknowledgement.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform: puts the parts together, runs their tasks, stops in order."""
+"""The daemon on the users' platform: creates the components, runs their tasks and shuts down gracefully."""
 
 import random
 import secrets
@@ -13,7 +13,7 @@
 from bayglade import logs, platform
 from bayglade.beliefs import Beliefs, path_beliefs, server_beliefs, stop_beliefs, table_beliefs
 from bayglade.calls import Call
-from bayglade.clock import Suspensions, keep_timers, now
+from bayglade.clock import SuspensionDetector, now, use_boottime_timers
 from bayglade.config import GatewayConfig, load_gateway_config, parse_address
 from bayglade.diagnosis import Diagnosis
 from bayglade.ends import watch_ends
@@ -28,7 +28,7 @@
     gather_within,
     wait_within,
 )
-from bayglade.heads import Message
+from bayglade.http1 import Message
 from bayglade.ids import RequestId
 from bayglade.intake import ELSEWHERE_SECONDS, Intake
 from bayglade.leases import Lease
@@ -55,27 +55,29 @@
 
 METRICS_PATH = b"/metrics"
 BELIEFS_PATH = b"/beliefs"
-DOCUMENT_PAUSE = 0.2
-"""Seconds after a change of the document before the next call: changes come in storms, each call
-is paid for, and a tenth of the time in which a change must be in force is spent at most."""
+DOCUMENT_POLL_DELAY = 0.2
+"""Seconds to wait after a change of the operator's document before the next request for changes: changes
+come in bursts and each request has a cost. At most a tenth of the time allowed for a change to take
+effect."""
 HEARTBEATS_MISSED = 3
-"""Heartbeats that a backend server misses before the platform removes its entry."""
-EXPIRY_MARGIN = 1.0
-"""Seconds for the removal to be known here."""
-TIDY_SECONDS = 1.0
-"""Seconds between looks at the own settings file and at connections that rested too long."""
-DRAIN_POLL = 0.05
-BALANCER_SECONDS = 3.5
-"""The balancer asks each second and takes a daemon out after two misses; then connections
-that are on their way still come."""
-ACCEPT_SECONDS = 2.8
-"""How long after the signal to stop all requests are still taken; later ones only if they are
-over in time for sure."""
-STOP_MARGIN = 0.6
-"""Seconds before the end by force at which the daemon ends by itself."""
+"""Heartbeats that a backend server has to miss before the platform removes its entry."""
+EXPIRY_MARGIN_SECONDS = 1.0
+"""Seconds for the removal of an entry to become known to this daemon."""
+HOUSEKEEPING_INTERVAL = 1.0
+"""Interval of housekeeping: checks the daemon's settings file for changes, drops expired idle
+connections and updates the gauges."""
+DRAIN_POLL_INTERVAL = 0.05
+BALANCER_REMOVAL_SECONDS = 3.5
+"""The balancer probes readiness every second and removes a daemon after two failed probes; connections
+already under way still arrive after that."""
+DRAIN_ACCEPT_SECONDS = 2.8
+"""How long after the termination signal every request is still accepted; later ones only if their
+deadline passes before the daemon exits."""
+EXIT_MARGIN_SECONDS = 0.6
+"""Seconds by which the daemon exits before the platform would kill it."""
 FINGERPRINT_KEY_BYTES = 32
-LOCAL_LIMITS = CallerLimits()
-"""Bounds for whoever asks for readiness and metrics."""
+INTERNAL_CLIENT_LIMITS = CallerLimits()
+"""Limits for clients of the readiness and metrics listeners."""
 
 
 class Gateway:
@@ -83,18 +85,18 @@
 
     def __init__(self, config: GatewayConfig, path: Path) -> None:
         self.config = config
-        self.path = path
-        self.changed_at = _changed_at(path)
+        self.config_path = path
+        self.config_mtime_ns = _mtime_ns(path)
         self.rng = random.Random()
         self.metrics = create_metrics(None, config.member)
         key_trust, servers_bound = config.key_trust_ms / 1000, config.drain_ms / 1000
         settings_bound = document_bound(config.config_ms / 1000, key_trust)
-        self.shortest_bound = min(settings_bound, servers_bound)
-        answer_seconds = answer_within(self.shortest_bound)
+        self.min_staleness_bound = min(settings_bound, servers_bound)
+        answer_seconds = answer_within(self.min_staleness_bound)
         self.history = StoreHistory()
         self.store = platform.Store(parse_address(config.store), answer_seconds, self.history.note)
         rows = GuardedTable(self.store, self.history)
-        self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN)
+        self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN_SECONDS)
         self.links = Links()
         self.fleet.on_restart.append(self.links.drop)
         self.control = platform.Engines(self.links)
@@ -107,8 +109,8 @@
             self.store,
             platform.OPERATOR_TABLE,
             wait_within(settings_bound),
-            self._take_document,
-            DOCUMENT_PAUSE,
+            self._apply_document,
+            DOCUMENT_POLL_DELAY,
             self.history,
         )
         self.listing = Listing(self.fleet, platform.decode_server, servers_bound, self.metrics)
@@ -116,7 +118,7 @@
             self.store,
             platform.SERVERS_TABLE,
             wait_within(servers_bound),
-            self.listing.take,
+            self.listing.apply_changes,
             gather_within(servers_bound),
             self.history,
         )
@@ -151,8 +153,8 @@
             self.intake.pipelines,
             self.metrics,
             self.rng,
-            pairs=Mechanism.PAIRS not in config.without,
-            first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
+            pair_servers=Mechanism.PAIRS not in config.without,
+            tries_first=lambda: self.peering.reads() and self.document_feed.failing_since is None,
         )
         self.peering = Peering(
             config,
@@ -169,27 +171,32 @@
         self.loader.daemons = self.peering.count
         look_together(self._feeds())
         self.presence = Presence(self.metrics)
-        self.active: set[RequestId] = set()
+        self.active_requests: set[RequestId] = set()
         self.draining = False
         self.draining_since = 0.0
-        self.stopping = Event()
+        self.shutdown_requested = Event()
 
     def __repr__(self) -> str:
-        return f"<Gateway {self.config.member} {self.intake!r} {len(self.active)} active>"
+        return f"<Gateway {self.config.member} {self.intake!r} {len(self.active_requests)} active>"
 
     def run(self) -> None:
-        """Serve until told to stop, then stop in order.
+        """Serve until a termination signal, then drain and exit.
 
-        :raises OSError: when an address cannot be listened on.
+        :raises OSError: if a listening address can't be bound.
         """
-        logs.set_up(self.config.member, "json", self.config.log_level)
-        keep_timers()
-        if self.shortest_bound < LEAST_BOUND_SECONDS:
-            event("WARNING", "bound too short", bound=self.shortest_bound, least=LEAST_BOUND_SECONDS)
-        self._on_signals()
-        self._listen(self.config.ready, lambda: LOCAL_LIMITS, self._answer_ready)
-        self._listen(self.config.metrics, lambda: LOCAL_LIMITS, self._answer_metrics)
-        self._listen(self.config.callers, self.intake.limits, self._answer_caller)
+        logs.configure_logging(self.config.member, "json", self.config.log_level)
+        use_boottime_timers()
+        if self.min_staleness_bound < LEAST_BOUND_SECONDS:
+            event(
+                "WARNING",
+                "staleness bound is too short",
+                bound=self.min_staleness_bound,
+                least=LEAST_BOUND_SECONDS,
+            )
+        self._install_signal_handlers()
+        self._start_listener(self.config.ready, lambda: INTERNAL_CLIENT_LIMITS, self._serve_readiness)
+        self._start_listener(self.config.metrics, lambda: INTERNAL_CLIENT_LIMITS, self._serve_metrics)
+        self._start_listener(self.config.callers, self.intake.limits, self._serve_caller)
         self.document_feed.start()
         self.servers_feed.start()
         for task in (
@@ -198,15 +205,15 @@
             self.diagnosis.recheck,
             self.presence.run,
             self.wait_queues.run,
-            self._tidy,
+            self._run_housekeeping,
         ):
             eventlet.spawn_n(task)
         event("INFO", "started", callers=self.config.callers, hall=self.config.hall)
-        self.stopping.wait()
+        self.shutdown_requested.wait()
         self._drain()
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the balancer should send callers to this daemon."""
         return (
             not self.draining
             and self.intake.version > 0
@@ -216,11 +223,11 @@
         )
 
     def _feeds(self) -> tuple[Feed, ...]:
-        """Return the feeds of all tables; the first looks most often for a store that is lost."""
+        """Return the feeds of all tables; the first probes most often while the store is unreachable."""
         return self.document_feed, self.servers_feed, self.peering.feed
 
     def beliefs(self) -> Beliefs:
-        """Return what this daemon takes for true at this moment."""
+        """Return this daemon's current view of settings, members, servers and paths."""
         paths = [
             path
             for service, pipeline in self.intake.pipelines().items()
@@ -239,64 +246,68 @@
             duty=self.peering.plan.duty.value,
             asks=list(self.peering.plan.asks),
             members=self.peering.live(),
-            in_flight=len(self.active),
+            in_flight=len(self.active_requests),
             waiting=self.wait_queues.waiting(),
             servers=server_beliefs(self.fleet),
             stopped=stop_beliefs(self.quarantine),
             paths=path_beliefs(paths),
         )
 
-    def _answer_ready(self, connection: Connection, message: Message) -> None:
+    def _serve_readiness(self, connection: Connection, message: Message) -> None:
         if message.target != platform.READY_PATH:
-            connection.answer(404, [], b"")
+            connection.send_response(404, [], b"")
             return
         ready = self.ready()
-        connection.answer(200 if ready else 503, [], b"ready" if ready else b"not ready")
+        connection.send_response(200 if ready else 503, [], b"ready" if ready else b"not ready")
 
-    def _answer_metrics(self, connection: Connection, message: Message) -> None:
+    def _serve_metrics(self, connection: Connection, message: Message) -> None:
         if message.target == BELIEFS_PATH:
-            connection.answer(200, [("Content-Type", JSON_TYPE)], msgspec.json.encode(self.beliefs()))
+            connection.send_response(
+                200, [("Content-Type", JSON_TYPE)], msgspec.json.encode(self.beliefs())
+            )
             return
         if message.target != METRICS_PATH:
-            connection.answer(404, [], b"")
+            connection.send_response(404, [], b"")
             return
-        connection.answer(200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.text())
+        connection.send_response(
+            200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.render()
+        )
 
-    def _answer_caller(self, connection: Connection, message: Message) -> None:
-        connection.closing = connection.closing or self.draining
+    def _serve_caller(self, connection: Connection, message: Message) -> None:
+        connection.close_after_response = connection.close_after_response or self.draining
         started = now()
         request = RequestId("")
         try:
             call = self.intake.call(message)
             request = call.head.id
-            self._check_stopping(call)
+            self._check_draining(call)
             self.quarantine.check(call)
-            self.active.add(request)
+            self.active_requests.add(request)
             with self.presence.watching(connection.sock):
-                self._relay(call, connection)
+                self._relay_call(call, connection)
         except BaygladeError as error:
-            self._fail(connection, error, request, started)
+            self._report_failure(connection, error, request, started)
         except (CallerLeft, OSError):
-            # Noticed while waiting, or by a send.
+            # Detected while waiting, or by a failed send.
             event("INFO", "caller left", request=request, after=round(now() - started, 3))
             raise
         finally:
-            self.active.discard(request)
+            self.active_requests.discard(request)
             self.metrics.observe("request_seconds", now() - started)
 
-    def _check_stopping(self, call: Call) -> None:
-        """Refuse a request that may not be over before this daemon ends."""
-        if not self.draining or now() - self.draining_since < ACCEPT_SECONDS:
+    def _check_draining(self, call: Call) -> None:
+        """Refuse a request that might not finish before this daemon exits."""
+        if not self.draining or now() - self.draining_since < DRAIN_ACCEPT_SECONDS:
             return
-        if call.deadline > self._ends_at():
-            again = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
-            raise Stopping("this daemon stops", step="intake", retry_after=again)
+        if call.deadline > self._exit_time():
+            retry_seconds = spread_retry_after(ELSEWHERE_SECONDS, self.rng, ELSEWHERE_SECONDS)
+            raise Stopping("this daemon is shutting down", step="intake", retry_after=retry_seconds)
 
-    def _ends_at(self) -> float:
-        """Return when this daemon ends by itself, once it was told to stop."""
-        return self.draining_since + self.config.grace_seconds - STOP_MARGIN
+    def _exit_time(self) -> float:
+        """Return when this daemon exits by itself, given that it is draining."""
+        return self.draining_since + self.config.grace_seconds - EXIT_MARGIN_SECONDS
 
-    def _relay(self, call: Call, connection: Connection) -> None:
+    def _relay_call(self, call: Call, connection: Connection) -> None:
         service = self.intake.tree.services.get(call.service)
         self.metrics.count("requests")
         if service is not None and service.pipeline is not None:
@@ -304,7 +315,7 @@
         else:
             relay_whole(self.peers, call, connection)
 
-    def _fail(
+    def _report_failure(
         self, connection: Connection, error: BaygladeError, request: RequestId, started: float
     ) -> None:
         self.metrics.count(f"errors_{error.code}")
@@ -313,18 +324,18 @@
             "request failed",
             request=request,
             error=repr(error),
-            cut=connection.sent,
+            cut=connection.response_started,
             after=round(now() - started, 3),
             settings=self.intake.version,
             age=round(self.document_feed.age(), 2),
         )
-        if connection.sent:
-            # Part of the answer is out: only the end of the connection says that it is not whole.
-            connection.closing = True
+        if connection.response_started:
+            # Part of the answer was sent: only closing the connection shows that it is incomplete.
+            connection.close_after_response = True
             return
-        connection.refuse(error, request)
+        connection.send_error(error, request)
 
-    def _take_document(self, changes: Changes, whole: bool) -> None:
+    def _apply_document(self, changes: Changes, whole: bool) -> None:
         value = changes.rows.get(platform.DOCUMENT_KEY)
         if value is None:
             return
@@ -335,22 +346,22 @@
             return
         self.intake.take(version, tree, bytes(value))
 
-    def _tidy(self) -> None:
-        """Do what is due now and then, for ever."""
-        suspensions = Suspensions()
+    def _run_housekeeping(self) -> None:
+        """Run periodic housekeeping; never returns."""
+        suspensions = SuspensionDetector()
         while True:
-            eventlet.sleep(TIDY_SECONDS)
-            if (seconds := suspensions.lately()) > 0:
+            eventlet.sleep(HOUSEKEEPING_INTERVAL)
+            if (seconds := suspensions.suspended_seconds()) > 0:
                 event("WARNING", "host was suspended", seconds=round(seconds, 2))
             self.links.forget(set(self.fleet.servers))
             self.quarantine.tidy()
-            self._gauge()
-            self.listing.tell_behind(self.document_feed.age())
-            if _changed_at(self.path) != self.changed_at:
+            self._update_gauges()
+            self.listing.log_staleness(self.document_feed.age())
+            if _mtime_ns(self.config_path) != self.config_mtime_ns:
                 self.reload("the file changed")
 
-    def _gauge(self) -> None:
-        self.metrics.gauge("in_flight", len(self.active))
+    def _update_gauges(self) -> None:
+        self.metrics.gauge("in_flight", len(self.active_requests))
         self.metrics.gauge("waiting", self.wait_queues.waiting())
         self.metrics.gauge("settings_version", self.intake.version)
         self.metrics.gauge("settings_age_seconds", self.document_feed.age())
@@ -371,63 +382,65 @@
         self.metrics.gauge("connections_opened", self.links.opened)
 
     def reload(self, cause: str) -> None:
-        """Read the daemon's own settings again; what makes no sense changes nothing.
+        """Read the daemon's settings file again; an invalid file is logged and ignored.
 
-        :param cause: why, for the log.
+        :param cause: what triggered the reload, for the log.
         """
-        self.changed_at = _changed_at(self.path)
+        self.config_mtime_ns = _mtime_ns(self.config_path)
         try:
-            self.config = load_gateway_config(self.path)
+            self.config = load_gateway_config(self.config_path)
         except InvalidSettings as error:
             event("ERROR", "reload refused", cause=cause, error=repr(error))
             return
         self.intake.key_trust = self.config.key_trust_ms / 1000
         event("INFO", "reloaded", cause=cause)
 
-    def _listen(self, address: str, limits: Callable[[], CallerLimits], handler: Handler) -> None:
-        where = parse_address(address)
-        eventlet.spawn_n(serve, listen(where.host, where.port), limits, handler)
+    def _start_listener(self, address: str, limits: Callable[[], CallerLimits], handler: Handler) -> None:
+        listen_on = parse_address(address)
+        eventlet.spawn_n(serve, listen(listen_on.host, listen_on.port), limits, handler)
 
-    def _on_signals(self) -> None:
-        def pass_on(act: Callable[[], None]) -> Callable[[int, object], None]:
-            # A signal arrives between any two steps: only pass it on.
+    def _install_signal_handlers(self) -> None:
+        def deferred(act: Callable[[], None]) -> Callable[[int, object], None]:
+            # A signal interrupts the code at any point, so the handler only schedules the action.
             return lambda *_: eventlet.hubs.get_hub().schedule_call_global(0, act)
 
-        signal.signal(signal.SIGTERM, pass_on(self._stop))
-        signal.signal(signal.SIGINT, pass_on(self._stop))
-        signal.signal(signal.SIGHUP, pass_on(lambda: self.reload("SIGHUP")))
+        signal.signal(signal.SIGTERM, deferred(self._begin_shutdown))
+        signal.signal(signal.SIGINT, deferred(self._begin_shutdown))
+        signal.signal(signal.SIGHUP, deferred(lambda: self.reload("SIGHUP")))
 
-    def _stop(self) -> None:
+    def _begin_shutdown(self) -> None:
         if not self.draining:
             self.draining_since = now()
         self.draining = True
         self.peering.leave()
-        if not self.stopping.ready():
-            self.stopping.send()
+        if not self.shutdown_requested.ready():
+            self.shutdown_requested.send()
 
     def _drain(self) -> None:
-        """Stop in order: unready first, then wait for the balancer and for answers."""
-        event("INFO", "stopping", active=len(self.active))
-        until = self._ends_at()
-        eventlet.sleep(min(BALANCER_SECONDS, until - now()))
-        while self.active and now() < until:
-            eventlet.sleep(DRAIN_POLL)
-        event("INFO", "stopped", cut=sorted(self.active), after=round(now() - self.draining_since, 2))
+        """Fail readiness, wait until the balancer has noticed, then wait for requests in flight."""
+        event("INFO", "stopping", active=len(self.active_requests))
+        exit_time = self._exit_time()
+        eventlet.sleep(min(BALANCER_REMOVAL_SECONDS, exit_time - now()))
+        while self.active_requests and now() < exit_time:
+            eventlet.sleep(DRAIN_POLL_INTERVAL)
+        event(
+            "INFO", "stopped", cut=sorted(self.active_requests), after=round(now() - self.draining_since, 2)
+        )
 
 
 def create_gateway(path: Path) -> Gateway:
-    """Build a daemon from its settings.
+    """Create a daemon from its settings file, without starting it.
 
     :param path: a YAML file.
-    :return: the daemon; nothing runs yet.
-    :raises InvalidSettings: when the settings are unreadable or wrong.
+    :return: the daemon.
+    :raises InvalidSettings: if the file is unreadable or invalid.
     """
     return Gateway(load_gateway_config(path), path)
 
 
-def _changed_at(path: Path) -> int:
+def _mtime_ns(path: Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError:
-        # Between two versions of the file there may be none for a moment.
+        # The file may be missing for a moment while it is replaced.
         return 0
--- a/bayglade/platform/engines.py
+++ b/bayglade/platform/engines.py
@@ -7,7 +7,7 @@
 from bayglade.clock import now
 from bayglade.control import OrderOutcome, RerouteOutcome, StageReport
 from bayglade.exceptions import BackendError, InvalidSettings
-from bayglade.heads import write_head
+from bayglade.http1 import encode_head
 from bayglade.ids import BackendId, RequestId
 from bayglade.logs import event
 from bayglade.models import Route
@@ -105,8 +105,8 @@
         last=layers.last,
         running=report.running,
         queued=report.queued,
-        used=report.kv_used,
-        total=report.kv_total,
+        cache_used=report.kv_used,
+        cache_total=report.kv_total,
         pace=report.pace,
         stalled={RequestId(entry.id): entry.addr for entry in report.stalled},
         incarnation=incarnation_of(report.born),
@@ -183,7 +183,7 @@
             event("INFO", "server not reached", peer=backend, path=path, error=repr(error))
             return Reply()
         try:
-            exchange.send(write_head(f"{method} {path} HTTP/1.1", headers) + body, until)
+            exchange.send(encode_head(f"{method} {path} HTTP/1.1", headers) + body, until)
             answer = exchange.head(until, lambda message: True)
             while (piece := exchange.piece(until)) is not None:
                 pieces.append(piece)
--- a/bayglade/relay.py
+++ b/bayglade/relay.py
@@ -28,7 +28,7 @@
 from bayglade.fleet import Fleet
 from bayglade.ids import BackendId, Fingerprint
 from bayglade.logs import event
-from bayglade.mechanisms import Mechanism, Without
+from bayglade.mechanisms import DisabledMechanisms, Mechanism
 from bayglade.metrics import Metrics
 from bayglade.paths import Paths
 from bayglade.quarantine import Quarantine
@@ -66,7 +66,7 @@
         new_budget: Callable[[], RetryBudget],
         metrics: Metrics,
         rng: random.Random,
-        without: Without = frozenset(),
+        without: DisabledMechanisms = frozenset(),
     ) -> None:
         self.fleet = fleet
         self.paths = paths
@@ -189,7 +189,7 @@
         that one call may be sent to; one that is out of reach just now does.
         """
         at = now()
-        alive = frozenset(head.facts.id for head in self.heads if not head.ended(at))
+        alive = frozenset(head.facts.id for head in self.heads if not head.has_ended(at))
         return alive if len(alive) >= self.call.endpoint.max_attempts else None
 
     def note(self, server: Server) -> None:
@@ -244,7 +244,7 @@
     if seconds <= 0:
         return
     for start in peers.quarantine.unsure_of(call):
-        if (server := peers.fleet.current(start)) is not None:
+        if (server := peers.fleet.find_current(start)) is not None:
             eventlet.spawn_n(look_at, peers, server)
     _gather(min(seconds, max(0.0, call.seconds_left())))
 
--- a/bayglade/runs.py
+++ b/bayglade/runs.py
@@ -130,12 +130,12 @@
         """Note that the request was sent; its first stage has it to read now."""
         self.exchange = exchange
         self.unread_at = self.path.servers[0]
-        self.unread_at.unread += 1
+        self.unread_at.unanswered += 1
 
     def was_read(self) -> None:
         """Note that its first stage has read the request, or will not."""
         if self.unread_at is not None:
-            self.unread_at.unread -= 1
+            self.unread_at.unanswered -= 1
             self.unread_at = None
 
     def moved_on(self) -> None:
@@ -163,8 +163,8 @@
     A stream that cannot be moved stays: such a stage serves on for a while. One for which there is no way
     round looks again: left on its stage to the end, all streams there would seek room at the same moment.
     """
-    if run.fleet_seen != peers.fleet.changed:
-        run.fleet_seen = peers.fleet.changed
+    if run.fleet_seen != peers.fleet.change_count:
+        run.fleet_seen = peers.fleet.change_count
         if run.leave_at is None and _leaving(run):
             run.leave_at = now() + peers.rng.uniform(0.0, LEAVE_SPREAD_SECONDS)
     if run.leave_at is None or now() < run.leave_at or Mechanism.LEAVE_PLANNED in peers.without:
@@ -222,7 +222,7 @@
     )
     if outcome.moved:
         peers.paths.take(path, pipeline, run.path)
-        path.sent()
+        path.mark_sent()
         run.move(path, since)
     return outcome.moved
 
@@ -295,7 +295,7 @@
     """
     if _can_resend(peers, call, pipeline, run):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
-    if not stage.ended(now()):
+    if not stage.has_ended(now()):
         return
     if stage is run.path.servers[0] or not run.begun or not _may_stay(peers, call):
         raise BackendError(reason, step="stream", peer=stage.facts.id)
--- a/bayglade/sockets.py
+++ b/bayglade/sockets.py
@@ -1,7 +1,7 @@
-"""Reading from green sockets without losing how a connection ended.
+"""Reading from eventlet's green sockets with resets reported as errors.
 
-eventlet's own ``recv`` turns a reset into an orderly end. A body that ends with
-its connection would then look whole after a reset.
+eventlet's own ``recv`` returns an orderly end on a connection reset. A body that is delimited by the end of
+its connection would then look complete although it was cut off.
 """
 
 import socket
@@ -17,28 +17,28 @@
 READ_BYTES = 64 * 1024
 
 
-def receive(sock: "GreenSocket", until: float) -> bytes:
-    """Read what is there, or wait for it.
+def receive(sock: "GreenSocket", deadline: float) -> bytes:
+    """Read available bytes, waiting for the first ones if necessary.
 
     :param sock: a green socket.
-    :param until: when to give up, in monotonic seconds.
-    :return: bytes; none at an orderly end of the connection.
-    :raises TimeoutError: when nothing came in time.
-    :raises OSError: when the connection was reset.
+    :param deadline: when to give up, in seconds of :func:`bayglade.clock.now`.
+    :return: the bytes; empty if the peer closed the connection.
+    :raises TimeoutError: if nothing arrived before the deadline.
+    :raises OSError: if the connection was reset.
     """
-    plain: socket.socket = sock.fd
+    raw: socket.socket = sock.fd
     while True:
         try:
-            return plain.recv(READ_BYTES)
+            return raw.recv(READ_BYTES)
         except BlockingIOError:
-            left = until - now()
+            left = deadline - now()
             if left <= 0:
-                raise TimeoutError("nothing came in time") from None
-            trampoline(plain, read=True, timeout=left, timeout_exc=TimeoutError)
+                raise TimeoutError("nothing received before the deadline") from None
+            trampoline(raw, read=True, timeout=left, timeout_exc=TimeoutError)
 
 
-def at_rest(sock: "GreenSocket") -> bool:
-    """Tell whether nothing came in on a connection: neither bytes nor its end.
+def is_idle(sock: "GreenSocket") -> bool:
+    """Return whether nothing arrived on a connection, neither bytes nor its end.
 
     :param sock: a green socket.
     """
--- a/bayglade/streams.py
+++ b/bayglade/streams.py
@@ -11,7 +11,6 @@
 
 from bayglade.calls import AnswerHead, Call, demand_of
 from bayglade.clock import now
-from bayglade.events import EventSplitter, event_id
 from bayglade.exceptions import (
     BackendError,
     BackendRefused,
@@ -21,7 +20,7 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.heads import Message, end_to_end
+from bayglade.http1 import Message, end_to_end_headers
 from bayglade.ids import BackendId
 from bayglade.listener import Connection
 from bayglade.logs import event
@@ -32,6 +31,7 @@
 from bayglade.runs import Run, blame, leave_planned, look_into
 from bayglade.sending import answer_head, send
 from bayglade.servers import Server
+from bayglade.sse import EventSplitter, event_id
 from bayglade.trials import ended_stages, heads_to_avoid
 from bayglade.upstream import Exchange
 
@@ -70,8 +70,8 @@
         if self.begun:
             return b""
         self.begun = True
-        headers = [*end_to_end(message.headers), ("Transfer-Encoding", "chunked")]
-        return self.connection.head(message.status, headers)
+        headers = [*end_to_end_headers(message.headers), ("Transfer-Encoding", "chunked")]
+        return self.connection.response_head(message.status, headers)
 
     def deliver(self, message: Message, events: Iterable[bytes]) -> None:
         """Send the events that the caller does not have yet."""
@@ -109,7 +109,7 @@
     :param pipeline: facts of the model.
     :param connection: the caller's connection.
     :raises BaygladeError: when it cannot be answered; what was sent to the caller shows in
-        ``connection.sent``.
+        ``connection.response_started``.
     """
     attempts = Attempts(call)
     delivery = Delivery(connection, call.head.last_event)
@@ -262,7 +262,7 @@
 
 def _limited_seconds(peers: Peers, call: Call) -> float:
     """Return how long a new stream waits where all first stages name limits; zero where one does not."""
-    heads = [s for s in peers.fleet.sound(call.service) if s.facts.held and s.facts.first == 0]
+    heads = [s for s in peers.fleet.healthy(call.service) if s.facts.layer_count and s.facts.first == 0]
     ahead = peers.wait_queues.ahead(call.service)
     return peers.fleet.rate_limits.expected_wait(heads, ahead) or 0.0
 
@@ -336,7 +336,7 @@
         run.was_read()
         exchange.close(keep_seconds)
     for server in run.path.servers:
-        peers.fleet.succeeded(server)
+        peers.fleet.record_success(server)
 
 
 def _await_head(peers: Peers, call: Call, pipeline: Pipeline, run: Run) -> tuple[Message, AnswerHead]:
@@ -374,7 +374,7 @@
         pieces.append(piece)
     if delivery.begun:
         raise BackendError("a stream cannot go on: the server failed", step="stream", peer=exchange.backend)
-    delivery.connection.answer(message.status, end_to_end(message.headers), b"".join(pieces))
+    delivery.connection.send_response(message.status, end_to_end_headers(message.headers), b"".join(pieces))
 
 
 def _pass_events(
@@ -401,7 +401,7 @@
         run.moved_on()
         delivery.deliver(message, splitter.feed(piece))
         leave_planned(peers, call, pipeline, run)
-    if splitter.rest:
+    if splitter.buffer:
         raise BackendError("the stream ended inside an event", step="stream", peer=run.exchange.backend)
     delivery.end(message)
 
@@ -425,10 +425,10 @@
         if error.misdirected:
             peers.fleet.mark_leaving(head, "another server has its address")
             return frozenset({server.facts.id})
-        server.short_until = now() + SHORT_SECONDS
+        server.full_until = now() + SHORT_SECONDS
         if server is not head:
             if error.rest_seconds is not None:
-                peers.fleet.rest(server, error.rest_seconds)
+                peers.fleet.set_rest(server, error.rest_seconds)
             # The head says which stage did not take part, not why: one that is dead has to be known.
             eventlet.spawn_n(peers.diagnosis.examine, [server])
         return frozenset({server.facts.id})
@@ -437,7 +437,7 @@
     if not isinstance(error, BackendUnreachable):
         blame(peers, call, run, head)
     if isinstance(error, BackendUnreachable):
-        peers.fleet.suspect(head, error.code)
+        peers.fleet.mark_suspect(head, error.code)
     elif not head.suspect:
         # A server that ends breaks its connections off: others have to know before they find out.
         eventlet.spawn_n(peers.diagnosis.examine_anew, [head])
--- a/bayglade/wait_queues.py
+++ b/bayglade/wait_queues.py
@@ -12,10 +12,10 @@
 from eventlet.event import Event
 
 from bayglade.calls import Call
-from bayglade.clock import Decayed, now
+from bayglade.clock import DecayingSum, now
 from bayglade.fairness import ShareOf, ShareQueue, Waiting
 from bayglade.ids import ServiceName
-from bayglade.places import Place
+from bayglade.reservations import Reservation
 from bayglade.settings import ROOT
 from bayglade.usage import Usage
 
@@ -32,7 +32,7 @@
 BEGUN_PRIORITY = 1 << 16
 """Priority of streams that have begun, above those of all calls: their callers wait in mid-answer."""
 
-P = TypeVar("P", bound=Place)
+P = TypeVar("P", bound=Reservation)
 
 Seek = Callable[[], P | None]
 """Returns a place with room that the request has taken, if there is one."""
@@ -47,7 +47,7 @@
 
     __slots__ = ("choosy", "granted", "hopeless", "seek")
 
-    def __init__(self, seek: Seek[Place], choosy: bool, hopeless: Callable[[], bool]) -> None:
+    def __init__(self, seek: Seek[Reservation], choosy: bool, hopeless: Callable[[], bool]) -> None:
         self.seek = seek
         self.choosy = choosy
         self.hopeless = hopeless
@@ -65,7 +65,7 @@
         self.usage = usage
         self.share_of = share_of
         self.queues: dict[ServiceName, ShareQueue[Turn]] = {}
-        self.ended: dict[ServiceName, Decayed] = {}
+        self.ended: dict[ServiceName, DecayingSum] = {}
         self.away: dict[ServiceName, deque[float]] = {}
         """When callers that were sent away are to come back, in monotonic seconds."""
 
@@ -154,7 +154,7 @@
     def note_end(self, service: ServiceName) -> None:
         """Note that a request has ended, and give its place to who waits."""
         if service not in self.ended:
-            self.ended[service] = Decayed(RATE_SECONDS)
+            self.ended[service] = DecayingSum(RATE_SECONDS)
         self.ended[service].add(1.0, now())
         self.wake(service)
 
--- a/bayglade/wholes.py
+++ b/bayglade/wholes.py
@@ -13,11 +13,11 @@
     CutOff,
     Unauthenticated,
 )
-from bayglade.heads import Headers, Message, end_to_end
+from bayglade.http1 import Headers, Message, end_to_end_headers
 from bayglade.listener import Connection
 from bayglade.logs import event
-from bayglade.places import Place
 from bayglade.relay import Attempts, Peers, await_word, content_of, look_at
+from bayglade.reservations import Reservation
 from bayglade.sending import answer_head, send
 from bayglade.servers import Server
 from bayglade.trials import wait_apart
@@ -37,7 +37,7 @@
 
     def __init__(self, message: Message, content: bytes) -> None:
         self.status = message.status
-        self.headers: Headers = end_to_end(message.headers)
+        self.headers: Headers = end_to_end_headers(message.headers)
         self.content = content
 
     def __repr__(self) -> str:
@@ -80,21 +80,21 @@
         raise attempts.error(peers.rng)
     if answer.status < 500:
         peers.quarantine.answered(call)
-    connection.answer(answer.status, answer.headers, answer.content)
+    connection.send_response(answer.status, answer.headers, answer.content)
     event("INFO", "answered", request=call.head.id, status=answer.status, sent=attempts.sent)
 
 
-def _find_place(peers: Peers, call: Call, attempts: Attempts) -> Place | None:
+def _find_place(peers: Peers, call: Call, attempts: Attempts) -> Reservation | None:
     """Choose a server, or wait until one that names a limit takes another request.
 
     :return: the place there, taken; nothing when there is none in time.
     """
 
-    def seek() -> Place | None:
+    def seek() -> Reservation | None:
         server = _least_busy(peers, call, attempts)
         if server is None:
             return None
-        place = Place((server,))
+        place = Reservation((server,))
         place.take()
         return place
 
@@ -102,13 +102,13 @@
     in_turn = not peers.wait_queues.busy(call.service)
     if in_turn and (place := seek()) is not None:
         return place
-    servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
+    servers = [s for s in peers.fleet.healthy(call.service) if s.facts.id not in attempts.tried]
     expected = peers.fleet.rate_limits.expected_wait(servers, peers.wait_queues.ahead(call.service))
     if expected is None and not in_turn and (place := seek()) is not None:
         # Those that wait are about to be let go: there is a server without a limit.
         return place
     if expected is None:
-        attempts.full_for = peers.fleet.opens_in(call.service)
+        attempts.full_for = peers.fleet.seconds_until_available(call.service)
         return None
     # Later it could not be answered before its deadline.
     until = min(call.deadline - call.endpoint.aim, call.arrived + WAIT_SECONDS)
@@ -122,7 +122,7 @@
     return None
 
 
-def _attempt(peers: Peers, call: Call, place: Place, attempts: Attempts) -> Answer:
+def _attempt(peers: Peers, call: Call, place: Reservation, attempts: Attempts) -> Answer:
     server = place.servers[0]
     attempts.tried.add(server.facts.id)
     server.in_flight += 1
@@ -143,7 +143,7 @@
         server.in_flight -= 1
         place.release()
     if message.status < 500:
-        peers.fleet.succeeded(server)
+        peers.fleet.record_success(server)
     return Answer(message, b"".join(pieces))
 
 
@@ -159,9 +159,9 @@
 def _least_busy(peers: Peers, call: Call, attempts: Attempts) -> Server | None:
     """Choose a server that was not tried, the least busy by this daemon's own count."""
     at = now()
-    servers = [s for s in peers.fleet.sound(call.service) if s.facts.id not in attempts.tried]
+    servers = [s for s in peers.fleet.healthy(call.service) if s.facts.id not in attempts.tried]
     peers.fleet.rate_limits.want(servers)
-    fitting = [server for server in servers if server.opens_at(at) <= at]
+    fitting = [server for server in servers if server.available_at(at) <= at]
     if not fitting or attempts.only() is not None:
         return None
     if peers.quarantine.suspects(call):
@@ -198,7 +198,7 @@
         return
     if not isinstance(error, BackendUnreachable):
         _note_break(peers, call, server, error)
-    peers.fleet.suspect(server, error.code)
+    peers.fleet.mark_suspect(server, error.code)
 
 
 def _note_break(peers: Peers, call: Call, server: Server, error: BackendError) -> None:
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -35,8 +35,8 @@
     last=4,
     running=0,
     queued=0,
-    used=0,
-    total=1,
+    cache_used=0,
+    cache_total=1,
     pace=1.0,
     stalled={},
 )
@@ -83,7 +83,7 @@
         )
         for n in range(count)
     ]
-    fleet.take(facts, [], False)
+    fleet.apply_changes(facts, [], False)
     stages = Stages(silent)
     return Diagnosis(fleet, stages, random.Random(1)), stages, list(fleet.servers.values())  # type: ignore[arg-type]
 
@@ -173,7 +173,7 @@
 
 def test_a_slow_stage_is_asked_again_until_it_is_quick(monkeypatch: pytest.MonkeyPatch) -> None:
     diagnosis, stages, servers = diagnose(set())
-    diagnosis.fleet.pace(servers[2], 12.0)
+    diagnosis.fleet.update_pace(servers[2], 12.0)
     rounds = iter(range(3))
 
     def sleep(seconds: float) -> None:
@@ -237,7 +237,7 @@
     """
     diagnosis, _, servers = diagnose({f"s{n}" for n in range(4)}, 8)
     for server in servers[:4]:
-        server.refused = True
+        server.connection_refused = True
     diagnosis.examine(servers[6:])
     for server in servers[:4]:
         assert diagnosis.look([server, servers[7]], RequestId("r")) == {server.facts.id}
@@ -247,7 +247,7 @@
 def test_a_daemon_to_which_nobody_answers_may_be_cut_off_itself() -> None:
     diagnosis, _, servers = diagnose({f"s{n}" for n in range(8)}, 8)
     for server in servers:
-        server.refused = True
+        server.connection_refused = True
     assert diagnosis.examine(servers) == frozenset()
     assert not any(server.suspect for server in servers)
 
@@ -304,9 +304,9 @@
     diagnosis.look_again([server])
     assert server.suspect
     empty = msgspec.structs.replace(server.facts, first=0, last=0)
-    diagnosis.fleet.take([empty], [], False)
+    diagnosis.fleet.apply_changes([empty], [], False)
     assert not server.suspect
-    assert not server.facts.held
+    assert not server.facts.layer_count
 
 
 class Connections:
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -14,9 +14,9 @@
 from bayglade.pathfinding import MOST_USE, Path, Search, find_path
 from bayglade.paths import SPILL_USE, Paths
 from bayglade.pipelines import Demand, Pipeline
-from bayglade.pipes import MOST_PIPE_USE, UNKNOWN_CROSSING_MS, Pipes
+from bayglade.pipes import MAX_PIPE_USE, UNKNOWN_CROSSING_MS, Pipes
 from bayglade.servers import Server
-from tests.test_tiling import SERVICE, holding, pipeline, placed, servers, three_speeds
+from tests.test_tiling import SERVICE, pipeline, place_servers, servers, servers_holding, three_speeds
 
 TWO_HALLS = {"a": {"big": 3, "middle": 3, "small": 5}, "b": {"big": 1, "middle": 5, "small": 8}}
 USUAL = Demand(770.0, 140.0)
@@ -40,8 +40,8 @@
     def __init__(self, hall: str, **halls: dict[str, int]) -> None:
         self.model = model_with_pipes()
         self.fleet = Fleet()
-        held = placed(servers(**(halls or TWO_HALLS)), self.model)
-        self.fleet.take([server.facts for server in held], [], outage=False)
+        held = place_servers(servers(**(halls or TWO_HALLS)), self.model)
+        self.fleet.apply_changes([server.facts for server in held], [], outage=False)
         self.paths = Paths(self.fleet, HallName(hall))
 
     def choose(self, demand: Demand = USUAL, without: frozenset[BackendId] = frozenset()) -> Path | None:
@@ -55,7 +55,7 @@
 
     def use(self, server: Server) -> float:
         facts = server.facts
-        return server.cached / self.model.cache_size(facts.accelerator or "", facts.held)
+        return server.cached / self.model.cache_capacity(facts.accelerator or "", facts.layer_count)
 
 
 def tiles(path: Path, layers: int) -> bool:
@@ -68,7 +68,7 @@
     # More than the chain of the quickest servers has room for.
     for _ in range(80):
         site.serve()
-    holders = [s for s in site.fleet.of(SERVICE) if s.facts.held]
+    holders = [s for s in site.fleet.of_service(SERVICE) if s.facts.layer_count]
     used = [s for s in holders if s.cached]
     assert len(used) == len(holders)
     for server in holders:
@@ -86,7 +86,7 @@
         assert server.cached == USUAL.cached * (stage.last - stage.first)
     assert [s.in_flight for s in path.servers] == [1, *[0] * (len(path.servers) - 1)]
     path.release()
-    assert all(s.cached == 0 and s.in_flight == 0 for s in site.fleet.of(SERVICE))
+    assert all(s.cached == 0 and s.in_flight == 0 for s in site.fleet.of_service(SERVICE))
 
 
 def test_no_server_is_filled_beyond_its_cache_and_a_full_fleet_has_no_path() -> None:
@@ -97,7 +97,7 @@
         served += 1
         assert served < 1000
     assert served > 100
-    assert all(site.use(s) <= MOST_USE for s in site.fleet.of(SERVICE) if s.facts.held)
+    assert all(site.use(s) <= MOST_USE for s in site.fleet.of_service(SERVICE) if s.facts.layer_count)
     assert site.paths.covered_in(SERVICE, site.model) == 0.0
 
 
@@ -107,7 +107,7 @@
     assert path is not None
     crowded = path.servers[1]
     facts = crowded.facts
-    full = site.model.cache_size(facts.accelerator or "", facts.held)
+    full = site.model.cache_capacity(facts.accelerator or "", facts.layer_count)
     site.paths.elsewhere = lambda: {facts.key: ServerLoad(facts.id, 0, int(full))}
     other = site.choose()
     assert other is not None
@@ -156,14 +156,14 @@
     lost = [
         next(
             s
-            for s in site.fleet.of(SERVICE)
+            for s in site.fleet.of_service(SERVICE)
             if s.facts.hall == hall and s.facts.first <= layer < s.facts.last
         )
         for hall, layer in (("a", 20), ("b", 60))
     ]
     twins = {
         s.facts.id
-        for s in site.fleet.of(SERVICE)
+        for s in site.fleet.of_service(SERVICE)
         for gone in lost
         if s.facts.hall == gone.facts.hall
         and s.facts.first < gone.facts.last
@@ -181,7 +181,7 @@
     path = site.choose()
     assert path is not None
     slow = path.servers[2]
-    site.fleet.pace(slow, 40.0)
+    site.fleet.update_pace(slow, 40.0)
     other = site.choose()
     assert other is not None
     assert slow not in other.servers
@@ -202,7 +202,7 @@
         assert server not in detour.servers
         others = [
             s
-            for s in site.fleet.of(SERVICE)
+            for s in site.fleet.of_service(SERVICE)
             if s.facts.hall == "a" and s is not server and s is not path.servers[0]
         ]
         held = {n for s in others for n in range(s.facts.first, s.facts.last)}
@@ -218,20 +218,20 @@
     model = model_with_pipes()
     pipes = Pipes()
     one, other = HallName("a"), HallName("b")
-    free = pipes.crossing_ms(one, other, model, USUAL)
+    free = pipes.crossing_cost_ms(one, other, model, USUAL)
     assert free < UNKNOWN_CROSSING_MS
     pipes.daemons = lambda: 4
     sent = 0
-    while pipes.crossing_ms(one, other, model, USUAL) < float("inf"):
-        pipes.sends([one, one, other, other], model, USUAL)
+    while pipes.crossing_cost_ms(one, other, model, USUAL) < float("inf"):
+        pipes.record([one, one, other, other], model, USUAL)
         sent += 1
         assert sent < 1000
-    assert pipes.use(frozenset((one, other)), model) >= MOST_PIPE_USE
-    assert pipes.crossing_ms(one, HallName("c"), model, USUAL) < float("inf")
+    assert pipes.use(frozenset((one, other)), model) >= MAX_PIPE_USE
+    assert pipes.crossing_cost_ms(one, HallName("c"), model, USUAL) < float("inf")
 
 
 def test_nothing_crosses_cheaply_where_no_pipe_is_known() -> None:
-    assert Pipes().crossing_ms(HallName("a"), HallName("b"), pipeline(), USUAL) == UNKNOWN_CROSSING_MS
+    assert Pipes().crossing_cost_ms(HallName("a"), HallName("b"), pipeline(), USUAL) == UNKNOWN_CROSSING_MS
 
 
 span_lists = st.lists(st.tuples(st.integers(0, 11), st.integers(1, 12)), max_size=12)
@@ -245,7 +245,7 @@
     found = [
         server
         for kind, spans in (("big", quick), ("middle", slow))
-        for server in holding([(first, min(12, first + length)) for first, length in spans], kind)
+        for server in servers_holding([(first, min(12, first + length)) for first, length in spans], kind)
     ]
     demand = Demand(4000.0, 0.0)
     search = Search(model, demand, lambda server: server.cached)
@@ -259,14 +259,14 @@
         served += 1
         path = find_path(found, search)
     for server in found:
-        size = model.cache_size(server.facts.accelerator or "", server.facts.held)
+        size = model.cache_capacity(server.facts.accelerator or "", server.facts.layer_count)
         assert server.cached <= MOST_USE * size
     if path is None and served:
         # Some layer has no holder left with room for one more request on all its layers.
         assert any(
             all(
-                s.cached + demand.cached * s.facts.held
-                > MOST_USE * model.cache_size(s.facts.accelerator or "", s.facts.held)
+                s.cached + demand.cached * s.facts.layer_count
+                > MOST_USE * model.cache_capacity(s.facts.accelerator or "", s.facts.layer_count)
                 for s in found
                 if s.facts.first <= layer < s.facts.last
             )
@@ -278,15 +278,15 @@
     site = Site("a")
     site.model = three_speeds()
     site.fleet = Fleet()
-    held = placed(servers(a={"quick": 3, "fair": 14, "slow": 16}), site.model)
-    site.fleet.take([server.facts for server in held], [], outage=False)
+    held = place_servers(servers(a={"quick": 3, "fair": 14, "slow": 16}), site.model)
+    site.fleet.apply_changes([server.facts for server in held], [], outage=False)
     site.paths = Paths(site.fleet, HallName("a"))
     return site
 
 
 def on_a_slow_way(site: Site, count: int) -> list[Path]:
     """Have requests run on a way of many stages, while a quicker one with fewer is free again."""
-    quick = frozenset(s.facts.id for s in site.fleet.of(SERVICE) if s.facts.accelerator == "quick")
+    quick = frozenset(s.facts.id for s in site.fleet.of_service(SERVICE) if s.facts.accelerator == "quick")
     paths = []
     for _ in range(count):
         path = site.choose(without=quick)
@@ -325,7 +325,7 @@
     firsts = []
     for _ in range(4):
         path = site.serve()
-        path.servers[0].unread += 1
+        path.servers[0].unanswered += 1
         firsts.append(path.servers[0].facts.accelerator)
     assert firsts[:2] == ["quick", "quick"]
     assert set(firsts) != {"quick"}
@@ -335,5 +335,5 @@
     site = three_speeds_site()
     site.paths.daemons = lambda: 20
     first = site.serve().servers[0]
-    first.unread = 1
+    first.unanswered = 1
     assert site.serve().servers[0] is first
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -10,7 +10,7 @@
 from bayglade.endpoints import Endpoints
 from bayglade.exceptions import InvalidMessage, InvalidSettings, NotFound
 from bayglade.fleet import Fleet
-from bayglade.heads import Message
+from bayglade.http1 import Message
 from bayglade.ids import BackendId
 from bayglade.platform import calls as platform_calls
 from bayglade.platform import decode_document, decode_server
@@ -80,7 +80,7 @@
 def test_a_server_becomes_facts() -> None:
     layers = {"from": 3, "targetVersion": 9, "version": 2}
     facts = facts_of("i-1", state="draining", layers=layers, more="passed over")
-    assert (facts.first, facts.last, facts.weights, facts.leaving) == (3, 9, 2, True)
+    assert (facts.first, facts.last, facts.weights_version, facts.leaving) == (3, 9, 2, True)
     with pytest.raises(InvalidSettings):
         decode_server("i-1", msgspec.Raw(b'{"service": 1}'))
 
@@ -191,21 +191,21 @@
 def test_a_common_cause_does_not_make_all_servers_suspect() -> None:
     fleet = Fleet()
     listed = [facts_of(f"i-{n}", layers=None) for n in range(6)]
-    fleet.take(listed, [], outage=False)
-    said = [fleet.suspect(server, "silent") for server in list(fleet.servers.values())]
+    fleet.apply_changes(listed, [], outage=False)
+    said = [fleet.mark_suspect(server, "silent") for server in list(fleet.servers.values())]
     assert said == [True, True, True, False, False, False]
 
 
 def test_rows_that_vanish_in_an_outage_are_kept_for_a_while() -> None:
     fleet = Fleet()
     listed = [facts_of(f"i-{n}", layers=None) for n in range(3)]
-    fleet.take(listed, [], outage=False)
-    fleet.replace(listed[:1], outage=True)
+    fleet.apply_changes(listed, [], outage=False)
+    fleet.apply_snapshot(listed[:1], outage=True)
     assert len(fleet.servers) == 3
-    fleet.take([listed[1]], [], outage=True)
+    fleet.apply_changes([listed[1]], [], outage=True)
     fleet.drop_lapsed()
     assert set(fleet.servers) == {BackendId("i-0"), BackendId("i-1")}
-    fleet.replace(listed[:1], outage=False)
+    fleet.apply_snapshot(listed[:1], outage=False)
     assert set(fleet.servers) == {BackendId("i-0")}
 
 
