--- a/bayglade/gateway.py
+++ b/bayglade/gateway.py
@@ -99,7 +99,7 @@
         self.fleet = Fleet(HEARTBEATS_MISSED * config.server_heartbeat_ms / 1000 + EXPIRY_MARGIN_SECONDS)
         self.links = ConnectionPool()
         self.fleet.on_restart.append(self.links.close_idle)
-        self.control = platform.Engines(self.links)
+        self.control = platform.ControlClient(self.links)
         self.diagnosis = Diagnosis(self.fleet, self.control, self.rng)
         self.diagnosis.rests = self.links.has_idle
         self.diagnosis.drop = self.links.close_idle
--- a/bayglade/platform/__init__.py
+++ b/bayglade/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The users' platform: translates its wire to and from bayglade's own types, and decides nothing."""
+"""Adapter of the platform: translates between its wire formats and Bayglade's own types.
+
+It makes no routing decisions.
+"""
 
 from pathlib import Path
 
@@ -10,7 +13,7 @@
     decode_document,
     decode_server,
 )
-from bayglade.platform.engines import Engines, decode_report
+from bayglade.platform.engines import ControlClient, decode_report
 from bayglade.platform.store import MEMBERS_TABLE, Store
 
 __all__ = [
@@ -20,7 +23,7 @@
     "READY_PATH",
     "SERVERS_TABLE",
     "SETTINGS_VARIABLE",
-    "Engines",
+    "ControlClient",
     "Store",
     "create_dialect",
     "decode_document",
@@ -35,8 +38,8 @@
 
 
 def settings_path(environment: dict[str, str]) -> Path:
-    """Return where the platform lays the settings of this process.
+    """Return the path of the settings file that the platform writes for this process.
 
-    :param environment: the variables of the process.
+    :param environment: the environment variables of the process.
     """
     return Path(environment.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH))
--- a/bayglade/platform/calls.py
+++ b/bayglade/platform/calls.py
@@ -1,4 +1,4 @@
-"""Headers of calls: as clients send them, as replicas get them, as replicas answer."""
+"""Headers of calls: requests from callers, requests to backend servers, and the servers' answers."""
 
 import math
 import re
@@ -10,39 +10,40 @@
 from bayglade.logs import event, rate_limited
 from bayglade.models import Route
 
-REQUEST_ID = "X-Request-Id"
-DEADLINE = "X-Deadline-Ms"
-KEY = "X-Key"
-TOKENS = "X-Token-Counts"
-ANSWER_HINT = "Length-Hint"
-LAST_EVENT = "Last-Event-Id"
-GROUP = "X-Tenant"
-INSTANCE = "X-Expect-Instance"
-ROUTE = "Path"
-PRIORITY = "Priority"
-SEAL = "x-response-seal"
-NOT_RUN = "x-not-executed"
-AT_FAULT = "at-server"
-ANSWERING = "x-instance-id"
-LEAVING = "server-leaving"
-REST = "retry-after"
-RATE_LIMIT = "server-limit"
-REST_STATUSES = (429, 503)
-"""Statuses with which a replica turns requests away; with others, ``Retry-After`` is none of its own."""
+REQUEST_ID_HEADER = "X-Request-Id"
+DEADLINE_HEADER = "X-Deadline-Ms"
+KEY_HEADER = "X-Key"
+TOKEN_COUNTS_HEADER = "X-Token-Counts"
+LENGTH_HINT_HEADER = "Length-Hint"
+LAST_EVENT_HEADER = "Last-Event-Id"
+TENANT_HEADER = "X-Tenant"
+EXPECTED_INSTANCE_HEADER = "X-Expect-Instance"
+ROUTE_HEADER = "Path"
+PRIORITY_HEADER = "Priority"
+SEAL_HEADER = "x-response-seal"
+NOT_EXECUTED_HEADER = "x-not-executed"
+AT_FAULT_HEADER = "at-server"
+INSTANCE_ID_HEADER = "x-instance-id"
+LEAVING_HEADER = "server-leaving"
+RETRY_AFTER_HEADER = "retry-after"
+RATE_LIMIT_HEADER = "server-limit"
+REJECTION_STATUSES = (429, 503)
+"""Statuses with which a server rejects a request. With any other status, ``Retry-After`` is not the
+server's own and is ignored."""
 DECIMAL = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)
-NONSENSE_LINES_PER_SECOND = 0.2
-"""A replica may send such a header with each answer; one line in five seconds tells of it."""
+INVALID_HEADER_LOGS_PER_SECOND = 0.2
+"""A server may send an invalid header with every answer; it is logged at most once in five seconds."""
 
 KNOWN_ANSWER_HEADERS = frozenset(
     {
-        REQUEST_ID.lower(),
-        SEAL,
-        NOT_RUN,
-        AT_FAULT,
-        ANSWERING,
-        LEAVING,
-        REST,
-        RATE_LIMIT,
+        REQUEST_ID_HEADER.lower(),
+        SEAL_HEADER,
+        NOT_EXECUTED_HEADER,
+        AT_FAULT_HEADER,
+        INSTANCE_ID_HEADER,
+        LEAVING_HEADER,
+        RETRY_AFTER_HEADER,
+        RATE_LIMIT_HEADER,
         "keep-alive",
         "versions",
         "connection",
@@ -54,102 +55,112 @@
         "server",
     }
 )
-"""Headers of answers that are read here, or are known to be of no concern to a router."""
+"""Headers of answers that are either parsed here or known not to matter to a router."""
 MAX_UNKNOWN_HEADERS = 100
-"""Names of unknown headers that are told of: a replica may make up any number."""
-
-OWN_HEADERS = frozenset(
-    name.lower() for name in (DEADLINE, KEY, LAST_EVENT, GROUP, INSTANCE, ROUTE, PRIORITY, "Expect-Version")
+"""Limit on the unknown header names that are logged: a server may invent any number of them."""
+
+ROUTER_HEADERS = frozenset(
+    name.lower()
+    for name in (
+        DEADLINE_HEADER,
+        KEY_HEADER,
+        LAST_EVENT_HEADER,
+        TENANT_HEADER,
+        EXPECTED_INSTANCE_HEADER,
+        ROUTE_HEADER,
+        PRIORITY_HEADER,
+        "Expect-Version",
+    )
 )
-"""Headers that are set here, whatever the client sent."""
+"""Headers that the router sets itself; those of the caller are dropped."""
 
 
 def read_call(message: Message) -> CallHead:
-    """Read the head of a client's request.
+    """Parse the head of a caller's request.
 
     :param message: the request.
-    :return: what it says.
-    :raises InvalidMessage: when it has no id or no host, or a figure is none.
+    :raises InvalidMessage: if the id or the host is missing, or a numeric header is not a number.
     """
     found = {name.lower(): value for name, value in message.headers}
-    request, host = found.get(REQUEST_ID.lower()), found.get("host")
+    request, host = found.get(REQUEST_ID_HEADER.lower()), found.get("host")
     if not request or not host:
-        raise InvalidMessage(f"a request needs Host and {REQUEST_ID}", step="read", peer="caller")
-    deadline = found.get(DEADLINE.lower())
+        raise InvalidMessage(f"a request needs Host and {REQUEST_ID_HEADER}", step="read", peer="caller")
+    deadline = found.get(DEADLINE_HEADER.lower())
     try:
-        prompt, answer = _tokens(found.get(TOKENS.lower()))
+        prompt, answer = _token_counts(found.get(TOKEN_COUNTS_HEADER.lower()))
         return CallHead(
             id=RequestId(request),
             host=host,
-            key=found.get(KEY.lower()),
+            key=found.get(KEY_HEADER.lower()),
             timeout_seconds=None if deadline is None else float(deadline) / 1000,
             prompt_tokens=prompt,
             max_answer_tokens=answer,
-            expected_answer_tokens=_hint(found.get(ANSWER_HINT.lower())),
-            last_event=_event_id(found.get(LAST_EVENT.lower())),
+            expected_answer_tokens=_length_hint(found.get(LENGTH_HINT_HEADER.lower())),
+            last_event=_event_id(found.get(LAST_EVENT_HEADER.lower())),
         )
     except ValueError as error:
-        raise InvalidMessage(f"a header makes no sense: {error}", step="read", peer="caller") from error
+        raise InvalidMessage(f"invalid header value: {error}", step="read", peer="caller") from error
 
 
 def request_headers(call: Call, sending: Sending) -> Headers:
-    """Write the headers of a request to a replica.
+    """Build the headers of a request to a backend server.
 
-    :param call: the client's request.
-    :param sending: where it goes, and with how much time.
-    :return: the headers, without those of framing.
+    :param call: the caller's request.
+    :param sending: the server to send it to, and the time left.
+    :return: the headers, without those that frame the body.
     """
-    passed = [(n, v) for n, v in end_to_end_headers(call.headers) if n.lower() not in OWN_HEADERS]
-    passed.append((DEADLINE, str(max(1, int(sending.seconds * 1000)))))
-    passed.append((INSTANCE, sending.backend))
+    passed = [(n, v) for n, v in end_to_end_headers(call.headers) if n.lower() not in ROUTER_HEADERS]
+    passed.append((DEADLINE_HEADER, str(max(1, int(sending.seconds * 1000)))))
+    passed.append((EXPECTED_INSTANCE_HEADER, sending.backend))
     if call.group is not None:
-        passed.append((GROUP, call.group))
+        passed.append((TENANT_HEADER, call.group))
     if sending.last_event is not None:
-        passed.append((LAST_EVENT, str(sending.last_event)))
+        passed.append((LAST_EVENT_HEADER, str(sending.last_event)))
     if sending.route is not None:
-        passed.append((ROUTE, write_route(sending.route)))
+        passed.append((ROUTE_HEADER, write_route(sending.route)))
     return passed
 
 
 def write_route(route: Route) -> str:
-    """Write the stages of a route as replicas take them.
+    """Format the stages of a route for backend servers.
 
-    :param route: the stages; the last layer of each is excluded.
+    :param route: the stages; the ``last`` layer of each is excluded.
     :return: the value of the header.
     """
     return ",".join(f"{stage.address}={stage.first}-{stage.last}" for stage in route.stages)
 
 
-_log_nonsense = rate_limited(NONSENSE_LINES_PER_SECOND)
+_log_invalid_header = rate_limited(INVALID_HEADER_LOGS_PER_SECOND)
 
 
 def read_answer(message: Message) -> AnswerHead:
-    """Read the head of a replica's answer.
+    """Parse the head of a backend server's answer.
 
     :param message: the answer.
-    :return: what it says.
     """
     found = {name.lower(): value for name, value in message.headers}
     for name in found.keys() - KNOWN_ANSWER_HEADERS:
-        _note_unknown(name, found[name])
+        _log_unknown_header(name, found[name])
     return AnswerHead(
-        request=found.get(REQUEST_ID.lower()),
-        authentic=SEAL in found,
-        not_run=NOT_RUN in found or message.status == 421,
-        instance_id=found.get(ANSWERING),
-        at_fault=found.get(AT_FAULT),
-        keep_alive_seconds=_keep_seconds(found.get("keep-alive")),
-        leaving=found.get(LEAVING) == "1",
-        rest_seconds=_rest_seconds(found.get(REST)) if message.status in REST_STATUSES else None,
-        rate_limit=_rate_limit(found.get(RATE_LIMIT)),
+        request=found.get(REQUEST_ID_HEADER.lower()),
+        authentic=SEAL_HEADER in found,
+        not_run=NOT_EXECUTED_HEADER in found or message.status == 421,
+        instance_id=found.get(INSTANCE_ID_HEADER),
+        at_fault=found.get(AT_FAULT_HEADER),
+        keep_alive_seconds=_keep_alive_seconds(found.get("keep-alive")),
+        leaving=found.get(LEAVING_HEADER) == "1",
+        rest_seconds=_rest_seconds(found.get(RETRY_AFTER_HEADER))
+        if message.status in REJECTION_STATUSES
+        else None,
+        rate_limit=_rate_limit(found.get(RATE_LIMIT_HEADER)),
     )
 
 
 _unknown_headers: set[str] = set()
 
 
-def _note_unknown(name: str, value: str) -> None:
-    """Log the first answer with a header that is not known here: it may ask something of its caller."""
+def _log_unknown_header(name: str, value: str) -> None:
+    """Log an unknown header of an answer once: it may ask something of the client."""
     if name in _unknown_headers or len(_unknown_headers) >= MAX_UNKNOWN_HEADERS:
         return
     _unknown_headers.add(name)
@@ -157,20 +168,20 @@
 
 
 def create_dialect() -> Dialect:
-    """Build the translation of calls on this platform."""
+    """Return the functions that translate calls for this platform."""
     return Dialect(read_call, request_headers, read_answer)
 
 
-def _tokens(text: str | None) -> tuple[int, int]:
-    """Read ``in,out``: tokens of the prompt and the most that are generated."""
+def _token_counts(text: str | None) -> tuple[int, int]:
+    """Parse ``in,out``: the tokens of the prompt and the maximum number of generated tokens."""
     if text is None:
         return 0, 0
     prompt, _, answer = text.partition(",")
     return int(prompt), int(answer or 0)
 
 
-def _hint(text: str | None) -> int | None:
-    """Read the client's estimate of the tokens out; one that makes no sense is as good as none."""
+def _length_hint(text: str | None) -> int | None:
+    """Parse the caller's estimate of the answer's tokens; an invalid one is ignored."""
     return int(text) if text and text.isdigit() else None
 
 
@@ -178,8 +189,8 @@
     return int(text) if text and text.isdigit() else None
 
 
-def _keep_seconds(text: str | None) -> float | None:
-    """Read the whole seconds of ``Keep-Alive: timeout=5``."""
+def _keep_alive_seconds(text: str | None) -> float | None:
+    """Parse the whole seconds of ``Keep-Alive: timeout=5``."""
     if text is None:
         return None
     digits = "".join(c for c in text.partition("timeout=")[2] or text if c.isdigit())
@@ -187,22 +198,22 @@
 
 
 def _rest_seconds(text: str | None) -> float | None:
-    """Read for how long a replica wants nothing; a value that names no such time asks for none."""
+    """Parse for how long a server wants no requests; a value that is not a positive number is ignored."""
     if text is None:
         return None
     seconds = float(text) if DECIMAL.fullmatch(text.strip()) else 0.0
     if 0.0 < seconds < math.inf:
         return seconds
-    _log_nonsense("WARNING", "rest makes no sense", value=text[:40])
+    _log_invalid_header("WARNING", "rest makes no sense", value=text[:40])
     return None
 
 
 def _rate_limit(text: str | None) -> float | None:
-    """Read how many requests a second a replica takes from all machines; zero is a limit too."""
+    """Parse how many requests per second a server accepts from all daemons; zero is a valid limit."""
     if text is None:
         return None
     rate = float(text) if DECIMAL.fullmatch(text.strip()) else math.inf
     if rate < math.inf:
         return rate
-    _log_nonsense("WARNING", "rate limit makes no sense", value=text[:40])
+    _log_invalid_header("WARNING", "rate limit makes no sense", value=text[:40])
     return None
--- a/bayglade/platform/documents.py
+++ b/bayglade/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's document and the rows of servers, decoded into bayglade's own types."""
+"""Decodes the operator's configuration document and the rows of servers into Bayglade's own types."""
 
 from hashlib import sha256
 from ipaddress import AddressValueError, IPv4Address
@@ -34,14 +34,14 @@
 
 
 class SplitEntry(msgspec.Struct):
-    """Part of a route's requests."""
+    """A service that gets a share of a route's requests, in proportion to its weight."""
 
     service: str
     weight: float
 
 
 class RouteEntry(msgspec.Struct, rename="camel"):
-    """A route; what it calls a kind says whether a request may be repeated."""
+    """A route. Its ``kind`` tells whether requests can be repeated and whether answers are streamed."""
 
     name: str
     host: str
@@ -63,8 +63,8 @@
 
     name: str
     mb: float
-    pace: float  # factor on the time of a token step, not a speed
-    read_x: float  # factor on the time of reading a prompt
+    pace: float  # factor on the duration of a token step, not a speed
+    read_x: float  # factor on the duration of prompt processing
 
 
 class ModelEntry(msgspec.Struct):
@@ -75,7 +75,7 @@
 
 
 class DelayEntry(msgspec.Struct):
-    """Time of one way between two zones; the second name is a zone, not a version."""
+    """One-way delay between two zones. ``targetVersion`` holds the second zone, not a version."""
 
     one: str = msgspec.field(name="from")
     other: str = msgspec.field(name="targetVersion")
@@ -83,16 +83,16 @@
 
 
 class EngineEntry(msgspec.Struct):
-    """Facts of the servers of a model."""
+    """Performance and capacity of the servers of a model."""
 
     models: Annotated[list[ModelEntry], msgspec.Meta(min_length=1)]
     kv_capacity: int = msgspec.field(name="kvCapacity", default=0)
     kv_token_bytes: float = msgspec.field(name="kvTokenBytes", default=0.0)
     step_ms: float = 0.0
-    per_seq_ms: float = 0.0  # a request that writes adds this to each step
-    context_per_k: float = 0.0  # and this for each 1,000 tokens of its context, in ms
-    act_bytes: float = 0.0  # a token's bytes from one stage to the next
-    pipe_mbps: float = 0.0  # between two zones, shared by all
+    per_seq_ms: float = 0.0  # added to each step by every request that generates tokens
+    context_per_k: float = 0.0  # added as well, per 1,000 tokens of its context; in ms
+    act_bytes: float = 0.0  # sent per token from one stage to the next
+    pipe_mbps: float = 0.0  # bandwidth between two zones, shared by all requests
     delays: list[DelayEntry] = []
     read_per_s: float = 0.0
     loads_at_once: int = 1
@@ -103,7 +103,7 @@
 
 
 class ServiceEntry(msgspec.Struct, rename="camel"):
-    """A service."""
+    """A service that routes can name as their target."""
 
     name: str
     health_path: str | None = None
@@ -112,7 +112,7 @@
 
 
 class LimitsEntry(msgspec.Struct, rename="camel"):
-    """Bounds for clients."""
+    """Size limits and timeouts of callers' connections."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -121,7 +121,7 @@
 
 
 class TenantEntry(msgspec.Struct, rename="camel"):
-    """A client account with its keys; its priority goes before that of a route."""
+    """A client account with its API keys; its priority overrides that of a route."""
 
     name: str
     api_keys: list[str] = []
@@ -129,7 +129,7 @@
 
 
 class Document(msgspec.Struct):
-    """The newest configuration, whole."""
+    """The whole configuration document."""
 
     version: int
     routes: list[RouteEntry]
@@ -139,7 +139,7 @@
 
 
 class Layers(msgspec.Struct):
-    """Layers that a server holds; the second bound is not a version, whatever its name."""
+    """The layers that a server holds. ``targetVersion`` is the excluded upper bound, not a version."""
 
     first: Count = msgspec.field(name="from")
     last: Count = msgspec.field(name="targetVersion")
@@ -147,15 +147,18 @@
 
     def __post_init__(self) -> None:
         if self.last < self.first:
-            raise ValueError("layers end before they begin")
+            raise ValueError("the upper bound of the layers is below the lower bound")
 
 
 NO_LAYERS = Layers(0, 0)
 
 
 class ServerRow(msgspec.Struct, rename="camel"):
-    """A server's own row. Fields that are not used are checked too: where one is missing or of another
-    type, another writer left the row."""
+    """The row that a server writes about itself.
+
+    Unused fields are validated too: if one is missing or has the wrong type, something other than a
+    server wrote the row.
+    """
 
     service: Name
     addr: str
@@ -164,18 +167,18 @@
     slots: Annotated[int, msgspec.Meta(gt=0)]
     state: Literal["ready", "draining"]
     cold_left_ms: float
-    seq: Count  # writes of the row, not orders as in a report
+    seq: Count  # number of writes of the row; in a report it counts orders
     born: UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
     kind: str | None = None
     layers: Layers | None = None
 
 
 def decode_document(value: msgspec.Raw) -> tuple[int, Tree]:
-    """Read the operator's document.
+    """Decode the operator's document.
 
     :param value: the row's value.
-    :return: its version and the settings it stands for.
-    :raises InvalidSettings: when it makes no sense.
+    :return: its version and the settings tree that it describes.
+    :raises InvalidSettings: if it is malformed.
     """
     document = decode_strictly(value, Document, "the operator's document", "settings")
     tree = Tree(
@@ -190,12 +193,11 @@
 
 
 def decode_server(key: str, value: msgspec.Raw) -> ServerFacts:
-    """Read a server's row.
+    """Decode a server's row.
 
     :param key: the row's key, which is the server's id.
     :param value: the row's value.
-    :return: facts of the server.
-    :raises InvalidSettings: when no server wrote it so.
+    :raises InvalidSettings: if it is not a row that a server would write.
     """
     row = decode_strictly(value, ServerRow, f"row of server {key}", "fleet")
     _check_address(row.addr)
@@ -217,13 +219,13 @@
 
 
 def decode_strictly(value: bytes | msgspec.Raw, kind: type[DecodedT], what: str, step: str) -> DecodedT:
-    """Decode JSON that anybody may have written.
+    """Decode and validate JSON from an untrusted writer.
 
-    :param value: the bytes.
-    :param kind: the type that it has to have.
-    :param what: what it is, for the error.
-    :param step: what it is read for.
-    :raises InvalidSettings: when it cannot be read or is of another shape.
+    :param value: the encoded value.
+    :param kind: the required type.
+    :param what: a description of the value, for the error message.
+    :param step: the processing step, for the error.
+    :raises InvalidSettings: if the value is malformed or has another type.
     """
     try:
         return msgspec.json.decode(value, type=kind)
@@ -232,21 +234,21 @@
 
 
 def _check_address(text: str) -> None:
-    """Check that an address can be dialled: an IP number and a port.
+    """Check that an address consists of an IPv4 address and a port, so that it can be dialled.
 
-    :raises InvalidSettings: when it cannot.
+    :raises InvalidSettings: if it does not.
     """
     where = parse_address(text)
     try:
         IPv4Address(where.host)
     except AddressValueError as error:
-        raise InvalidSettings(f"{text!r} is no IP number and port", step="fleet") from error
+        raise InvalidSettings(f"{text!r} is not an IPv4 address and port", step="fleet") from error
     if where.port == 0:
         raise InvalidSettings(f"{text!r} has no port", step="fleet")
 
 
 def incarnation_of(born: int | msgspec.UnsetType) -> Incarnation:
-    """Return which start of a server speaks, by the time of that start; unknown where it is not told."""
+    """Return the incarnation of a server: its start time, or unknown if the server does not send it."""
     return UNKNOWN_INCARNATION if isinstance(born, msgspec.UnsetType) else Incarnation(born)
 
 
--- a/bayglade/platform/engines.py
+++ b/bayglade/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders to replicas and their reports."""
+"""Client for orders to backend servers and for their reports."""
 
 from typing import Literal
 
@@ -23,35 +23,35 @@
 
 REPORT_PATH = "/api/report"
 ORDER_PATH = "/api/order"
-ORDER_SECONDS = 1.0
-REROUTE_SECONDS = 0.4
-"""A moved request is worth little once its caller has waited for another half second."""
+ORDER_TIMEOUT = 1.0
+REROUTE_TIMEOUT = 0.4
+"""Rerouting a request is of little use once its caller has waited another half second."""
 
 
 class StalledEntry(msgspec.Struct):
-    """A request that stands still; the address is that of the stage it waits for."""
+    """A stalled request, with the address of the stage that it is waiting for."""
 
     id: str
     addr: str = ""
 
 
 class Report(msgspec.Struct):
-    """A replica's report."""
+    """A server's report about itself."""
 
-    seq: int = 0  # orders begun since its start
-    busy: bool = False  # an order is in progress, not: requests are
+    seq: int = 0  # orders begun since the server started
+    busy: bool = False  # an order is in progress; does not refer to requests
     layers: Layers | None = None
     running: int = 0
     queued: int = 0
     kv_used: float = msgspec.field(name="kvUsed", default=0.0)  # tokens times layers
     kv_total: float = msgspec.field(name="kvTotal", default=0.0)
-    pace: float = 1.0  # over 1: slow
+    pace: float = 1.0  # times slower than usual
     stalled: list[StalledEntry] = []
     born: UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
 
 
 class PlaceOrder(msgspec.Struct):
-    """Hold these layers; the second bound is excluded and is not a version."""
+    """Order to hold a range of layers. ``targetVersion`` is the excluded upper bound, not a version."""
 
     first: int = msgspec.field(name="from")
     last: int = msgspec.field(name="targetVersion")
@@ -61,21 +61,21 @@
 
 
 class RepathOrder(msgspec.Struct):
-    """Go on over another path."""
+    """Order to continue a running request on another path of stages."""
 
     id: str
     path: str
     op: Literal["repath"] = "repath"
 
 
-class Refusal(msgspec.Struct):
-    """Why an order was not taken."""
+class RerouteRefusal(msgspec.Struct):
+    """Body of a refused reroute: the address of the stage at fault."""
 
     addr: str | None = None
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A replica's answer to one call; status 0 when there was no whole one."""
+    """A server's answer to one request; status 0 if no complete answer arrived."""
 
     status: int = 0
     body: bytes = b""
@@ -86,12 +86,12 @@
 def decode_report(
     body: bytes, leaving: bool = False, rate_limit: float | None = None
 ) -> StageReport | None:
-    """Read a replica's report.
+    """Decode a server's report.
 
     :param body: the answer's body.
-    :param leaving: whether the answer's head says that the replica leaves.
-    :param rate_limit: the limit that the answer's head names.
-    :return: the report; nothing when it makes no sense.
+    :param leaving: whether the answer's headers announce that the server is leaving.
+    :param rate_limit: the rate limit in the answer's headers.
+    :return: the report, or None if it is malformed.
     """
     try:
         report = decode_strictly(body, Report, "a report", "report")
@@ -115,31 +115,31 @@
     )
 
 
-class Engines:
-    """The replicas as reached over the daemon's connections."""
+class ControlClient:
+    """Sends orders to backend servers and fetches their reports over pooled connections."""
 
     def __init__(self, links: ConnectionPool) -> None:
         self.links = links
 
     def __repr__(self) -> str:
-        return f"<Engines {self.links!r}>"
+        return f"<ControlClient {self.links!r}>"
 
     def report(
         self, backend: BackendId, address: str, timeout: float, anew: bool = False
     ) -> StageReport | None:
-        """Ask a replica for its report; see :class:`bayglade.control.Control`."""
-        reply = self._ask(backend, address, "GET", REPORT_PATH, b"", timeout, anew)
+        """Fetch a server's report; see :class:`bayglade.control.Control`."""
+        reply = self._request(backend, address, "GET", REPORT_PATH, b"", timeout, anew)
         if reply.status != 200:
             return None
         report = decode_report(reply.body, reply.leaving, reply.rate_limit)
         if report is None:
-            event("WARNING", "report makes no sense", peer=backend, body=reply.body[:200])
+            event("WARNING", "malformed report", peer=backend, body=reply.body[:200])
         return report
 
     def place(self, backend: BackendId, address: str, first: int, last: int, after: int) -> OrderOutcome:
-        """Order a range of layers; see :class:`bayglade.control.Control`."""
+        """Order a server to hold a range of layers; see :class:`bayglade.control.Control`."""
         body = msgspec.json.encode(PlaceOrder(first, last, after))
-        status = self._ask(backend, address, "POST", ORDER_PATH, body, ORDER_SECONDS).status
+        status = self._request(backend, address, "POST", ORDER_PATH, body, ORDER_TIMEOUT).status
         if status == 202:
             return OrderOutcome.TAKEN
         if status == 200:
@@ -147,20 +147,22 @@
         return OrderOutcome.REFUSED if status in (400, 409, 412, 421) else OrderOutcome.UNKNOWN
 
     def reroute(self, backend: BackendId, address: str, request: RequestId, route: Route) -> RerouteOutcome:
-        """Move a running request; see :class:`bayglade.control.Control`."""
+        """Move a running request to another route; see :class:`bayglade.control.Control`."""
         body = msgspec.json.encode(RepathOrder(request, write_route(route)))
-        reply = self._ask(backend, address, "POST", ORDER_PATH, body, REROUTE_SECONDS)
+        reply = self._request(backend, address, "POST", ORDER_PATH, body, REROUTE_TIMEOUT)
         if reply.status in (200, 202):
             return RerouteOutcome(True)
         if reply.status == 409 and reply.body:
             try:
-                return RerouteOutcome(False, True, msgspec.json.decode(reply.body, type=Refusal).addr)
+                return RerouteOutcome(
+                    False, True, msgspec.json.decode(reply.body, type=RerouteRefusal).addr
+                )
             except msgspec.DecodeError as error:
-                event("WARNING", "refusal makes no sense", peer=backend, error=str(error))
-        # Without a body: some part has no room.
+                event("WARNING", "malformed refusal of a reroute", peer=backend, error=str(error))
+        # A refusal without a body means that some stage has no room.
         return RerouteOutcome(False, reply.status == 409)
 
-    def _ask(
+    def _request(
         self,
         backend: BackendId,
         address: str,
@@ -170,7 +172,7 @@
         timeout: float,
         anew: bool = False,
     ) -> Reply:
-        """Make one call."""
+        """Send one request and read the whole answer; errors are logged and yield status 0."""
         until = now() + timeout
         headers = [("Host", address)]
         if method == "POST":
--- a/bayglade/platform/store.py
+++ b/bayglade/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store: rows, transactions and feeds over HTTP."""
+"""HTTP client for the platform's metadata store: rows, transactions and change feeds."""
 
 import base64
 import binascii
@@ -17,39 +17,39 @@
 
 CONNECT_TIMEOUT = 0.5
 READ_TIMEOUT = 1.0
-"""Seconds that an answer may take at most, beside the wait that was asked for."""
+"""Maximum time for an answer in seconds, in addition to the requested wait."""
 POOL_SIZE = 4
 PAGE_ROWS = 500
-OWN_TABLES = "bayglade-"
-"""Begins the names of bayglade's own tables; each matter has one, so that a feed of one wakes
-nobody for another."""
-MEMBERS_TABLE = OWN_TABLES + "members"
+TABLE_PREFIX = "bayglade-"
+"""Prefix of the names of Bayglade's own tables. Each kind of row has its own table, so that a change of
+one kind does not wake the feeds of another."""
+MEMBERS_TABLE = TABLE_PREFIX + "members"
 EPOCH_HEADER = "Store-Era"
 MAX_EPOCH_DIGITS = 18
-"""Epochs fit 64 bits: they go to other daemons too."""
-STRANGE_LINES_PER_SECOND = 0.1
-"""Log lines a second on epochs that make no sense: each answer names one."""
+"""Epochs must fit into 64 bits, since they are sent to other daemons too."""
+INVALID_EPOCH_LOGS_PER_SECOND = 0.1
+"""Log lines per second about invalid epochs: every answer carries an epoch."""
 
 
 class StoredRow(msgspec.Struct):
-    """A row on the wire."""
+    """A row as encoded by the store."""
 
     key: str
     value: str = ""  # base64
     ver: int = ABSENT
-    gone: bool = False  # a row that was removed, in feeds
+    gone: bool = False  # the row was removed; only in feeds
 
 
 class Page(msgspec.Struct):
-    """Rows as of one moment."""
+    """Rows as of one version of the store."""
 
     rows: list[StoredRow]
-    ver: int  # the newest version of the whole store, not of these rows
+    ver: int  # the newest version in the whole store, not just in these rows
     more: bool = False
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """An answer of the store."""
+class StoreAnswer(msgspec.Struct, frozen=True):
+    """An HTTP answer of the store."""
 
     status: int
     body: bytes
@@ -57,7 +57,7 @@
 
 
 class Expected(msgspec.Struct):
-    """A row and the version that it must have."""
+    """Condition of a transaction: the version that a row must have."""
 
     key: str
     ver: int
@@ -66,7 +66,7 @@
 
 
 class Put(msgspec.Struct):
-    """A row to be written."""
+    """A row to write."""
 
     key: str
     value: str
@@ -75,7 +75,7 @@
 
 
 class Write(msgspec.Struct):
-    """A transaction on the wire; ``expected`` are versions of rows, not revisions of settings."""
+    """A transaction as encoded for the store. ``expectedRev`` holds versions of rows, not of settings."""
 
     expected: list[Expected] = msgspec.field(name="expectedRev")
     put: list[Put]
@@ -83,11 +83,11 @@
 
 
 class Store:
-    """The store as seen by one daemon; holds only pooled connections.
+    """Client of the store for one daemon. Its only state is pooled connections.
 
-    :param address: where it answers.
-    :param answer_seconds: how long an answer to a reading call may take beside the wait asked for.
-    :param on_epoch: told of the epoch that each answer names, refusals and conflicts among them.
+    :param address: the store's address.
+    :param answer_seconds: maximum time for an answer to a read, in addition to the requested wait.
+    :param on_epoch: called with the epoch of every answer, including refusals and conflicts.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         self.address = address
         self.answer_seconds = answer_seconds
         self.on_epoch = on_epoch
-        self.tell_strange = rate_limited(STRANGE_LINES_PER_SECOND)
+        self.log_invalid_epoch = rate_limited(INVALID_EPOCH_LOGS_PER_SECOND)
         self.pool = self._new_pool()
 
     def __repr__(self) -> str:
@@ -110,74 +110,85 @@
         return urllib3.HTTPConnectionPool(where.host, where.port, maxsize=POOL_SIZE, retries=False)
 
     def snapshot(self, table: str) -> Changes:
-        """Read all rows of a table; see :class:`bayglade.rows.ChangeFeed`."""
+        """Read all rows of a table, page by page; see :class:`bayglade.rows.ChangeFeed`."""
         found: dict[str, msgspec.Raw | None] = {}
         start, first = "", None
         while True:
-            page, epoch = self._page(f"/api/rows-get?table={table}&part=&from={start}&limit={PAGE_ROWS}")
-            # Changes since the first page come again with the feed.
+            page, epoch = self._read_page(
+                f"/api/rows-get?table={table}&part=&from={start}&limit={PAGE_ROWS}"
+            )
+            # The feed repeats changes since the first page, so the version of that page is the one to keep.
             first = Position(epoch, page.ver) if first is None else first
             if epoch != first.epoch:
-                raise HistoryGone("the store was restored between two pages", step="read", peer="store")
-            found.update((row.key, _value(row)) for row in page.rows)
+                raise HistoryGone(
+                    "the store was restored from a backup between two pages", step="read", peer="store"
+                )
+            found.update((row.key, _row_value(row)) for row in page.rows)
             if not page.more or not page.rows:
                 return Changes(found, first.version, first.epoch)
             start = page.rows[-1].key + "\0"
 
     def changes(self, table: str, after: Position, wait: float) -> Changes:
         """Wait for changes; see :class:`bayglade.rows.ChangeFeed`."""
-        # Rounded up: an answer that comes before the whole wait is over does not confirm it.
+        # Rounded up: an answer that comes before the whole wait is over does not confirm that the rows are
+        # current.
         path = f"/api/rows-feed?table={table}&afterRev={after.version}&waitMs={math.ceil(wait * 1000)}"
-        page, epoch = self._page(path, wait)
-        return Changes({row.key: _value(row) for row in page.rows}, page.ver, epoch)
+        page, epoch = self._read_page(path, wait)
+        return Changes({row.key: _row_value(row) for row in page.rows}, page.ver, epoch)
 
     def read(self, keys: list[str]) -> dict[str, Row]:
-        """Read rows of bayglade's own tables; see :class:`bayglade.rows.RowStore`."""
+        """Read rows of Bayglade's own tables; see :class:`bayglade.rows.RowStore`."""
         found: dict[str, Row] = {}
         for key in keys:
-            page, epoch = self._page(f"/api/rows-get?table={_table(key)}&part=&from={key}&limit=1")
+            page, epoch = self._read_page(f"/api/rows-get?table={_table_of(key)}&part=&from={key}&limit=1")
             for row in page.rows:
                 if row.key == key:
-                    found[key] = Row(row.ver, _decoded(row.value), epoch)
+                    found[key] = Row(row.ver, _decode_value(row.value), epoch)
         return found
 
     def transact(self, transaction: Transaction) -> TransactionResult:
-        """Write rows of bayglade's own tables; see :class:`bayglade.rows.RowStore`."""
+        """Write rows of Bayglade's own tables; see :class:`bayglade.rows.RowStore`."""
         message = Write(
-            expected=[Expected(c.key, c.version, _table(c.key)) for c in transaction.conditions],
-            put=[Put(w.key, base64.b64encode(w.value).decode(), _table(w.key)) for w in transaction.writes],
+            expected=[Expected(c.key, c.version, _table_of(c.key)) for c in transaction.conditions],
+            put=[
+                Put(w.key, base64.b64encode(w.value).decode(), _table_of(w.key)) for w in transaction.writes
+            ],
             remove=[
-                Expected(c.key, c.version, _table(c.key))
+                Expected(c.key, c.version, _table_of(c.key))
                 for c in transaction.conditions
                 if c.key in transaction.removes
             ],
         )
-        answer = self._call("transact", "POST", "/api/rows-tx", msgspec.json.encode(message), READ_TIMEOUT)
+        answer = self._request(
+            "transact", "POST", "/api/rows-tx", msgspec.json.encode(message), READ_TIMEOUT
+        )
         if answer.status == 412:
             conflicts = msgspec.json.decode(answer.body, type=Page).rows
             return TransactionResult(False, [row.key for row in conflicts], answer.epoch)
         if answer.status != 200:
-            raise self._refused("transact", answer.status, lost=answer.status not in (429, 503))
+            raise self._status_error("transact", answer.status, lost=answer.status not in (429, 503))
         return TransactionResult(True, epoch=answer.epoch)
 
-    def _page(self, path: str, wait: float = 0.0) -> tuple[Page, StoreEpoch]:
-        answer = self._call("read", "GET", path, None, wait + min(READ_TIMEOUT, self.answer_seconds))
+    def _read_page(self, path: str, wait: float = 0.0) -> tuple[Page, StoreEpoch]:
+        answer = self._request("read", "GET", path, None, wait + min(READ_TIMEOUT, self.answer_seconds))
         if answer.status == 410:
-            raise HistoryGone("the history after this version is gone", step="read", peer="store")
+            raise HistoryGone(
+                "the store no longer has the changes after this version", step="read", peer="store"
+            )
         if answer.status != 200:
-            raise self._refused("read", answer.status, lost=False)
+            raise self._status_error("read", answer.status, lost=False)
         try:
             return msgspec.json.decode(answer.body, type=Page), answer.epoch
         except msgspec.DecodeError as error:
-            raise PlatformUnavailable(
-                f"an answer makes no sense: {error}", step="read", peer="store"
-            ) from error
+            raise PlatformUnavailable(f"malformed answer: {error}", step="read", peer="store") from error
 
-    def _refused(self, step: str, status: int, lost: bool) -> PlatformUnavailable:
+    def _status_error(self, step: str, status: int, lost: bool) -> PlatformUnavailable:
         kind = PlatformAnswerLost if lost else PlatformUnavailable
         return kind(f"the store answered {status}", step=step, peer="store")
 
-    def _call(self, step: str, method: str, path: str, body: bytes | None, timeout: float) -> Answer:
+    def _request(
+        self, step: str, method: str, path: str, body: bytes | None, timeout: float
+    ) -> StoreAnswer:
         lost = PlatformAnswerLost if step == "transact" else PlatformUnavailable
         headers = {"Content-Type": "application/json"} if body is not None else {}
         try:
@@ -193,36 +204,35 @@
         except (NewConnectionError, ConnectTimeoutError) as error:
             raise PlatformUnavailable("the store cannot be reached", step=step, peer="store") from error
         except (HTTPError, OSError) as error:
-            # The other connections at rest may have fallen silent with this one, each of which
-            # would cost a whole time-out to find out.
+            # The other idle connections may be dead as well; each would cost a whole timeout to find out.
             self.pool, silent = self._new_pool(), self.pool
             silent.close()
-            raise lost("the store's answer was lost", step=step, peer="store") from error
+            raise lost("no complete answer from the store", step=step, peer="store") from error
         epoch = self._epoch(response.headers.get(EPOCH_HEADER))
         self.on_epoch(epoch)
-        return Answer(response.status, response.data, epoch)
+        return StoreAnswer(response.status, response.data, epoch)
 
     def _epoch(self, text: str | None) -> StoreEpoch:
-        """Read the epoch that an answer names; one that makes no sense is none."""
+        """Parse the epoch of an answer; an invalid one is treated as unknown."""
         if text is None:
             return UNKNOWN_EPOCH
         if not (text.isascii() and text.isdigit() and len(text) <= MAX_EPOCH_DIGITS):
-            self.tell_strange("WARNING", "store epoch makes no sense", value=text[:20])
+            self.log_invalid_epoch("WARNING", "store epoch makes no sense", value=text[:20])
             return UNKNOWN_EPOCH
         return StoreEpoch(int(text))
 
 
-def _table(key: str) -> str:
-    """Return the table of one of bayglade's own rows, whose key begins with its matter."""
-    return OWN_TABLES + key.partition("/")[0]
+def _table_of(key: str) -> str:
+    """Return the table of one of Bayglade's own rows; the first part of the key names it."""
+    return TABLE_PREFIX + key.partition("/")[0]
 
 
-def _value(row: StoredRow) -> msgspec.Raw | None:
-    return None if row.gone else _decoded(row.value)
+def _row_value(row: StoredRow) -> msgspec.Raw | None:
+    return None if row.gone else _decode_value(row.value)
 
 
-def _decoded(text: str) -> msgspec.Raw:
-    """Decode a row's value; one that cannot be read comes out empty, which is no JSON either."""
+def _decode_value(text: str) -> msgspec.Raw:
+    """Decode a row's value. Invalid base64 gives an empty value, which JSON decoding then rejects."""
     try:
         return msgspec.Raw(base64.b64decode(text, validate=True))
     except (binascii.Error, ValueError):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter of the users' platform: what it translates, and that only it knows their names."""
+"""The platform adapter: its translations, and that no other module uses the platform's wire names."""
 
 import re
 from pathlib import Path
@@ -27,15 +27,15 @@
     r"|/api/(ready|report|order)|Server-(Leaving|Limit)|Store-Era",
     re.IGNORECASE,
 )
-LARGEST_PART = 0.1
-"""The adapter's part of the product's lines, at most."""
+MAX_ADAPTER_SHARE = 0.1
+"""Maximum share of the adapter in the package's lines of code."""
 
 
 def sources(folder: Path) -> list[Path]:
     return sorted(folder.rglob("*.py"))
 
 
-def test_nothing_outside_the_adapter_knows_names_of_the_wire() -> None:
+def test_nothing_outside_the_adapter_uses_wire_names() -> None:
     outside = [path for path in sources(ROOT) if ADAPTER not in path.parents]
     assert len(outside) > 50
     found = {path.name: WIRE_NAMES.findall(path.read_text(encoding="utf-8")) for path in outside}
@@ -45,14 +45,14 @@
 def test_the_adapter_is_small() -> None:
     lines = {path: len(path.read_text(encoding="utf-8").splitlines()) for path in sources(ROOT)}
     adapter = sum(count for path, count in lines.items() if ADAPTER in path.parents)
-    assert adapter < LARGEST_PART * sum(lines.values())
+    assert adapter < MAX_ADAPTER_SHARE * sum(lines.values())
 
 
 def document(**changes: object) -> msgspec.Raw:
     return msgspec.Raw(msgspec.json.encode(configuration(7, (KEY, "second"), changes)))
 
 
-def test_a_document_becomes_settings() -> None:
+def test_a_document_is_decoded_into_settings() -> None:
     version, tree = decode_document(document())
     assert version == 7
     kinds = {e.name: (e.streamed, e.repeatable, e.resumable, e.public) for e in tree.endpoints}
@@ -72,14 +72,14 @@
 
 
 @pytest.mark.parametrize("content", [b"{", b"[]", b'{"version": 1}', b'{"version": "x", "routes": []}'])
-def test_a_document_that_makes_no_sense_is_refused_whole(content: bytes) -> None:
+def test_a_malformed_document_is_rejected(content: bytes) -> None:
     with pytest.raises(InvalidSettings):
         decode_document(msgspec.Raw(content))
 
 
-def test_a_server_becomes_facts() -> None:
+def test_a_server_row_is_decoded_into_facts() -> None:
     layers = {"from": 3, "targetVersion": 9, "version": 2}
-    facts = facts_of("i-1", state="draining", layers=layers, more="passed over")
+    facts = facts_of("i-1", state="draining", layers=layers, more="ignored")
     assert (facts.first, facts.last, facts.weights_version, facts.leaving) == (3, 9, 2, True)
     with pytest.raises(InvalidSettings):
         decode_server("i-1", msgspec.Raw(b'{"service": 1}'))
@@ -91,7 +91,7 @@
     return made
 
 
-def test_a_request_head_is_read() -> None:
+def test_a_request_head_is_parsed() -> None:
     head = read_call(
         message(
             Host="h",
@@ -115,13 +115,13 @@
         {"Host": "h", "X_Request_Id": "r", "X_Token_Counts": "many"},
     ],
 )
-def test_a_request_head_that_makes_no_sense_is_refused(headers: dict[str, str]) -> None:
+def test_a_malformed_request_head_is_rejected(headers: dict[str, str]) -> None:
     with pytest.raises(InvalidMessage):
         read_call(message(**headers))
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "not_run", "genuine"),
+    ("status", "headers", "not_run", "authentic"),
     [
         (200, {"X_Request_Id": "r", "X_Response_Seal": "s"}, False, True),
         (500, {"X_Request_Id": "r", "X_Response_Seal": "s"}, False, True),
@@ -130,13 +130,13 @@
         (421, {"X_Instance_Id": "other"}, True, False),
     ],
 )
-def test_only_the_servers_own_word_says_that_it_did_not_run(
-    status: int, headers: dict[str, str], not_run: bool, genuine: bool
+def test_only_the_servers_own_statement_means_that_it_did_not_run(
+    status: int, headers: dict[str, str], not_run: bool, authentic: bool
 ) -> None:
     answer = message(**headers)
     answer.status = status
     head = read_answer(answer)
-    assert (head.not_run, head.authentic) == (not_run, genuine)
+    assert (head.not_run, head.authentic) == (not_run, authentic)
 
 
 @pytest.mark.parametrize(
@@ -154,16 +154,14 @@
         (503, "Wed, 21 Oct 2026 07:28:00 GMT", None),
     ],
 )
-def test_a_server_that_turns_a_request_away_may_ask_for_rest(
-    status: int, text: str | None, seconds: float | None
-) -> None:
+def test_retry_after_of_a_rejection_is_parsed(status: int, text: str | None, seconds: float | None) -> None:
     answer = message(**({"Retry_After": text} if text is not None else {}))
     answer.status = status
     assert read_answer(answer).rest_seconds == seconds
 
 
 @pytest.mark.parametrize("status", [200, 421, 500, 503])
-def test_a_server_may_say_in_any_answer_that_it_leaves(status: int) -> None:
+def test_a_server_may_announce_in_any_answer_that_it_is_leaving(status: int) -> None:
     leaving, staying = message(Server_Leaving="1"), message(Server_Leaving="0")
     leaving.status = staying.status = status
     assert read_answer(leaving).leaving
@@ -192,8 +190,8 @@
     fleet = Fleet()
     listed = [facts_of(f"i-{n}", layers=None) for n in range(6)]
     fleet.apply_changes(listed, [], outage=False)
-    said = [fleet.mark_suspect(server, "silent") for server in list(fleet.servers.values())]
-    assert said == [True, True, True, False, False, False]
+    marked = [fleet.mark_suspect(server, "silent") for server in list(fleet.servers.values())]
+    assert marked == [True, True, True, False, False, False]
 
 
 def test_rows_that_vanish_in_an_outage_are_kept_for_a_while() -> None:
@@ -234,15 +232,15 @@
     assert read_answer(answer).rate_limit == rate
 
 
-def test_an_unknown_header_of_an_answer_is_told_of_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[str] = []
+def test_an_unknown_header_of_an_answer_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    logged: list[str] = []
     monkeypatch.setattr(platform_calls, "_unknown_headers", set())
     monkeypatch.setattr(
-        platform_calls, "event", lambda level, message, **fields: told.append(fields["header"])
+        platform_calls, "event", lambda level, message, **fields: logged.append(fields["header"])
     )
     for _ in range(3):
         read_answer(message(Server_Mood="low", Content_Type="text/plain"))
-    assert told == ["server-mood"]
+    assert logged == ["server-mood"]
     for number in range(2 * MAX_UNKNOWN_HEADERS):
         read_answer(message(**{f"X_Made_Up_{number}": "1"}))
-    assert len(told) == MAX_UNKNOWN_HEADERS
+    assert len(logged) == MAX_UNKNOWN_HEADERS
