--- a/bayglade/callers/__init__.py
+++ b/bayglade/callers/__init__.py
@@ -1,4 +1,4 @@
-"""The callers: HTTP towards kiosks, handhelds, clinics and their programs."""
+"""The HTTP interface for callers: kiosks, handheld devices, clinics and their programs."""
 
 from bayglade.callers.api import Callers
 from bayglade.callers.server import serve
--- a/bayglade/callers/api.py
+++ b/bayglade/callers/api.py
@@ -1,4 +1,4 @@
-"""What callers can ask: completions, chats, models and plain services."""
+"""The API for callers: completions, chat completions, the model list and plain services."""
 
 import hashlib
 import socket
@@ -46,7 +46,7 @@
 
 
 class Callers:
-    """The API towards callers."""
+    """Authenticates, validates and answers the requests of callers."""
 
     def __init__(
         self, router: Router, presence: DisconnectWatcher, max_body_bytes: int, body_timeout: float
@@ -61,11 +61,11 @@
         return f"<Callers {self.directory!r}>"
 
     def handle(self, environ: Environ) -> Response:
-        """Serve one request.
+        """Handle one request.
 
-        :param environ: the request's environment.
-        :return: the answer.
-        :raises BaygladeError: when there is none.
+        :param environ: the WSGI environment of the request.
+        :return: the response.
+        :raises BaygladeError: if the request is rejected or fails.
         """
         holder = self.directory.account(bearer_key(environ))
         path = environ["PATH_INFO"]
@@ -77,7 +77,7 @@
             return self._models()
         if path.startswith(SERVICES_PATH):
             return self._service(environ, holder)
-        raise NotFound(f"no page {path!r}", step="read", peer="caller")
+        raise NotFound(f"no such path: {path!r}", step="read", peer="caller")
 
     def _models(self) -> Response:
         return json_response(wire.ModelList([wire.ModelEntry(n) for n in self.router.tree.models]))
@@ -97,7 +97,7 @@
     def _completion_request(self, environ: Environ, holder: Holder, ask: wire.Ask) -> Completion:
         tree = self.router.tree
         if ask.model not in tree.models:
-            raise NotFound(f"no model {ask.model!r}", step="read", peer="caller")
+            raise NotFound(f"unknown model {ask.model!r}", step="read", peer="caller")
         model = ModelName(ask.model)
         repeatable = _repeatable(environ, True)
         return Completion(
@@ -128,7 +128,7 @@
         self, environ: Environ, request: Completion, writer: wire.Writer, claim: Claim | None
     ) -> Response:
         pieces = self._pieces(environ, request, writer, claim)
-        # The first piece is made before the head is sent, so that a refusal has its status.
+        # Wait for the first piece before sending the head, so that an early failure gets its own status.
         first = next(pieces)
         response = _answered(request.id, wire.STREAM_TYPE, b"")
         response.headers.append(("Cache-Control", "no-store"))
@@ -163,9 +163,9 @@
         name = environ["PATH_INFO"].removeprefix(SERVICES_PATH).partition("/")[0]
         service = self.router.tree.services.get(ServiceName(name))
         if service is None:
-            raise NotFound(f"no service {name!r}", step="read", peer="caller")
+            raise NotFound(f"unknown service {name!r}", step="read", peer="caller")
         if environ["REQUEST_METHOD"] not in METHODS:
-            raise MethodNotAllowed("no such method", step="read", peer="caller")
+            raise MethodNotAllowed("method not supported", step="read", peer="caller")
         body = read_body(environ, self.max_body_bytes, self.body_timeout)
         request = self._service_request(environ, holder, ServiceName(name), service.repeatable, body)
         claim = self.router.claim(request, _digest(environ, body))
@@ -192,7 +192,7 @@
         )
 
     def _seconds(self, environ: Environ, holder: Holder) -> float:
-        """Return the seconds a request may take: the caller may shorten, not lengthen."""
+        """Return the timeout of a request in seconds; a caller can only shorten the group's limit."""
         allowed = deadline_of(self.router.tree, holder.group)
         text = request_header(environ, wire.DEADLINE_HEADER)
         if text is None:
@@ -202,7 +202,7 @@
         except ValueError:
             asked = -1.0
         if not 0 < asked < float("inf"):
-            message = f"{wire.DEADLINE_HEADER} must be seconds above zero"
+            message = f"{wire.DEADLINE_HEADER} must be a positive number of seconds"
             raise InvalidRequest(message, step="read", peer="caller")
         return min(allowed, asked)
 
@@ -214,7 +214,7 @@
 
 def _expect(environ: Environ, method: str) -> None:
     if environ["REQUEST_METHOD"] != method:
-        raise MethodNotAllowed(f"this page takes {method}", step="read", peer="caller")
+        raise MethodNotAllowed(f"this path supports only {method}", step="read", peer="caller")
 
 
 def _new_id() -> RequestId:
@@ -222,7 +222,7 @@
 
 
 def _repeatable(environ: Environ, by_default: bool) -> bool:
-    """Read whether a request may be repeated; a caller cannot undo a service's no."""
+    """Return whether a request can be repeated; a caller can only restrict the default."""
     text = request_header(environ, wire.REPEATABLE_HEADER)
     if text is None:
         return by_default
@@ -235,7 +235,7 @@
 def _idempotency_key(environ: Environ, repeatable: bool) -> str | None:
     key = request_header(environ, wire.KEY_HEADER)
     if key is None and not repeatable:
-        message = f"a request that may not be repeated needs {wire.KEY_HEADER}"
+        message = f"a request that must not be repeated needs the {wire.KEY_HEADER} header"
         raise InvalidRequest(message, step="read", peer="caller")
     if key is not None and not (0 < len(key) <= wire.MAX_KEY_CHARACTERS and key.isprintable()):
         message = f"{wire.KEY_HEADER} must have 1 to {wire.MAX_KEY_CHARACTERS} printable characters"
@@ -244,7 +244,7 @@
 
 
 def _digest(environ: Environ, body: bytes) -> str:
-    """Return the digest of all that makes a request another request."""
+    """Return a digest of everything that distinguishes two requests with the same idempotency key."""
     head = f"{environ['REQUEST_METHOD']} {environ['PATH_INFO']}?{environ.get('QUERY_STRING', '')}\n"
     return hashlib.sha256(head.encode() + body).hexdigest()
 
@@ -278,7 +278,7 @@
 
 
 def _replayed(writer: wire.Writer, answer: ServiceAnswer) -> Response:
-    """Give a kept completion again, streamed as one piece where a stream is asked for."""
+    """Return a stored completion; if the caller asked for a stream, all text goes out as one event."""
     if not writer.ask.stream:
         return _answered(RequestId(writer.request), JSON_TYPE, answer.body)
     kept = msgspec.json.decode(answer.body, type=wire.Completion).choices[0]
--- a/bayglade/callers/server.py
+++ b/bayglade/callers/server.py
@@ -1,7 +1,8 @@
-"""The HTTP server that callers and operators reach, over eventlet's WSGI server.
+"""The HTTP server for callers and operators, based on eventlet's WSGI server.
 
-The server's defaults leave gaps (no time-out on headers, the first of two
-lengths wins); the protocol class here closes them.
+By default, eventlet has no timeout for request heads and accepts the first of
+two ``Content-Length`` headers. The protocol class here adds the timeout and
+rejects requests with duplicates of such headers.
 """
 
 import socket
@@ -19,21 +20,21 @@
 
 
 class _NoLog:
-    """Takes what the WSGI server would print; requests are logged elsewhere."""
+    """Discards the output of the WSGI server; requests are logged elsewhere."""
 
     def write(self, _: str) -> None:
-        """Drop a line."""
+        """Discard a line."""
 
 
 def protocol(header_timeout: float) -> type[eventlet.wsgi.HttpProtocol]:
-    """Make the protocol class that guards the head of each request.
+    """Create a protocol class that limits the time for each request head.
 
-    :param header_timeout: seconds from the first byte of a head to its last.
-    :return: a class for the WSGI server.
+    :param header_timeout: maximum seconds from the first to the last byte of a head.
+    :return: the class, for the WSGI server.
     """
 
     class GuardedProtocol(eventlet.wsgi.HttpProtocol):
-        """HTTP as eventlet speaks it, with a deadline on heads and no doubled lengths."""
+        """eventlet's HTTP protocol with a timeout for request heads and a check for duplicate headers."""
 
         def _read_request_line(self) -> Any:
             if not self._begun():
@@ -42,7 +43,7 @@
             return super()._read_request_line()
 
         def _begun(self) -> bool:
-            """Wait for the first byte of the next request, for as long as a connection may idle."""
+            """Wait for the first byte of the next request, at most for the idle timeout."""
             try:
                 self.connection.settimeout(IDLE_TIMEOUT)
                 return bool(self.rfile.peek(1))
@@ -72,7 +73,7 @@
                     self.guard.cancel()
 
         def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-            """Refuse a head that cannot be read, in HTTP and without its content."""
+            """Answer a malformed head with a plain 400 response that does not echo the request."""
             self.wfile.write(BAD_REQUEST)
             self.close_connection = True
 
@@ -88,12 +89,12 @@
     max_connections: int,
     header_timeout: float,
 ) -> None:
-    """Serve until the calling task is killed; then wait for answers in flight.
+    """Serve until the calling green thread is killed, then wait for responses in flight.
 
     :param sock: the listening socket.
     :param application: the WSGI application.
-    :param max_connections: how many connections are served at once.
-    :param header_timeout: seconds for the head of a request.
+    :param max_connections: maximum number of concurrent connections.
+    :param header_timeout: maximum seconds for the head of a request.
     """
     with suppress(eventlet.greenlet.GreenletExit):
         eventlet.wsgi.server(
--- a/bayglade/callers/wire.py
+++ b/bayglade/callers/wire.py
@@ -1,7 +1,7 @@
-"""Messages between callers and a daemon: the usual completion shapes over HTTP.
+"""Messages between callers and a daemon: a subset of the OpenAI completion formats over HTTP.
 
 Streams are server-sent events that end with ``data: [DONE]`` or with an
-``error`` event; a stream that ends with neither was cut.
+``error`` event; a stream that ends with neither was interrupted.
 """
 
 import time
@@ -22,7 +22,7 @@
 
 
 class CompletionBody(msgspec.Struct, kw_only=True):
-    """The body of ``POST /v1/completions``; unknown fields are passed over."""
+    """The body of ``POST /v1/completions``; unknown fields are ignored."""
 
     model: str
     prompt: str
@@ -31,7 +31,7 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """One message of a chat."""
+    """A message of a chat."""
 
     role: str
     content: str
@@ -47,14 +47,14 @@
 
 
 class ChatDelta(msgspec.Struct, omit_defaults=True):
-    """A piece of a chat answer."""
+    """The part of a chat answer that one event of a stream carries."""
 
     content: str | None = None
     role: str | None = None
 
 
 class Choice(msgspec.Struct, omit_defaults=True):
-    """The one choice of an answer or of a piece of it."""
+    """The only choice of an answer, or of one event of a stream."""
 
     index: int
     text: str | None = None
@@ -64,13 +64,13 @@
 
 
 class Usage(msgspec.Struct):
-    """Tokens that an answer took."""
+    """Number of tokens in an answer."""
 
     completion_tokens: int
 
 
 class Completion(msgspec.Struct, omit_defaults=True):
-    """An answer, or a piece of a streamed one."""
+    """A whole answer, or one event of a streamed answer."""
 
     id: str
     object: str
@@ -81,21 +81,21 @@
 
 
 class ModelEntry(msgspec.Struct):
-    """One line of ``GET /v1/models``."""
+    """An entry of ``GET /v1/models``."""
 
     id: str
     object: Literal["model"] = "model"
 
 
 class ModelList(msgspec.Struct):
-    """The answer of ``GET /v1/models``."""
+    """The response body of ``GET /v1/models``."""
 
     data: list[ModelEntry]
     object: Literal["list"] = "list"
 
 
 class Ask(msgspec.Struct):
-    """What a caller asks of a model, from either body."""
+    """Parameters of a completion, from the body of either path."""
 
     model: str
     prompt: str
@@ -105,12 +105,12 @@
 
 
 def decode_ask(body: bytes, chat: bool) -> Ask:
-    """Read the body of a completion.
+    """Decode and validate the body of a completion request.
 
-    :param body: JSON.
-    :param chat: whether it came by the chat path.
-    :return: what is asked.
-    :raises InvalidRequest: naming the field that is wrong.
+    :param body: the JSON body.
+    :param chat: whether the request came to the chat path.
+    :return: the parameters of the completion.
+    :raises InvalidRequest: if the body is invalid; the message names the field.
     """
     try:
         if chat:
@@ -121,19 +121,19 @@
     except (msgspec.DecodeError, RecursionError) as error:
         raise InvalidRequest(str(error), step="read", peer="caller") from error
     if not 1 <= ask.max_tokens <= MAX_TOKENS:
-        message = f"max_tokens must lie between 1 and {MAX_TOKENS}"
+        message = f"max_tokens must be between 1 and {MAX_TOKENS}"
         raise InvalidRequest(message, step="read", peer="caller")
     return ask
 
 
 def _from_chat(body: ChatBody) -> Ask:
-    # Roles and contents are framed by length, so that no content can pass for a role.
+    # The length prefix prevents content from being mistaken for another message with its own role.
     prompt = "".join(f"{m.role}:{len(m.content)}:{m.content}\n" for m in body.messages)
     return Ask(body.model, prompt, body.max_tokens, body.stream, True)
 
 
 class Writer:
-    """Writes the answer to one request in the shape its path asks for."""
+    """Encodes the answer to one request in the format of its path, plain or chat."""
 
     def __init__(self, request: str, ask: Ask) -> None:
         self.request = request
@@ -144,23 +144,23 @@
         return f"<Writer {self.request}>"
 
     def token(self, text: str) -> bytes:
-        """Write one token as an event."""
+        """Return the event for one token."""
         if self.ask.chat:
             return self._event(Choice(0, delta=ChatDelta(text)))
         return self._event(Choice(0, text=text))
 
     def end(self, reason: str) -> bytes:
-        """Write the explicit end of a stream."""
+        """Return the events that end a complete stream."""
         delta = ChatDelta() if self.ask.chat else None
         return self._event(Choice(0, delta=delta, finish_reason=reason)) + DONE
 
     def error(self, error: BaygladeError) -> bytes:
-        """Write the explicit error that ends a stream early."""
+        """Return the ``error`` event that ends a stream early."""
         body = msgspec.json.encode(error_body(error, self.request))
         return b"event: error\ndata: " + body + b"\n\n"
 
     def whole(self, tokens: list[str], reason: str) -> bytes:
-        """Write a whole answer that is not streamed."""
+        """Return the body of an answer that is not streamed."""
         text = "".join(tokens)
         choice = Choice(0, text=text, finish_reason=reason)
         if self.ask.chat:
