--- a/bayglade/callers/__init__.py
+++ b/bayglade/callers/__init__.py
@@ -1,6 +1,6 @@
 """The HTTP interface for callers: kiosks, handheld devices, clinics and their programs."""
 
-from bayglade.callers.api import Callers
+from bayglade.callers.api import CallerApi
 from bayglade.callers.server import serve
 
-__all__ = ["Callers", "serve"]
+__all__ = ["CallerApi", "serve"]
--- a/bayglade/callers/api.py
+++ b/bayglade/callers/api.py
@@ -42,23 +42,23 @@
 CHAT_PATH = "/v1/chat/completions"
 MODELS_PATH = "/v1/models"
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"})
-REPEATABLE_WORDS = {"yes": True, "no": False}
+REPEATABLE_VALUES = {"yes": True, "no": False}
 
 
-class Callers:
+class CallerApi:
     """Authenticates, validates and answers the requests of callers."""
 
     def __init__(
-        self, router: Router, presence: DisconnectWatcher, max_body_bytes: int, body_timeout: float
+        self, router: Router, disconnects: DisconnectWatcher, max_body_bytes: int, body_timeout: float
     ) -> None:
         self.router = router
-        self.presence = presence
+        self.disconnects = disconnects
         self.directory = Directory(router.tree)
         self.max_body_bytes = max_body_bytes
         self.body_timeout = body_timeout
 
     def __repr__(self) -> str:
-        return f"<Callers {self.directory!r}>"
+        return f"<CallerApi {self.directory!r}>"
 
     def handle(self, environ: Environ) -> Response:
         """Handle one request.
@@ -70,10 +70,10 @@
         holder = self.directory.account(bearer_key(environ))
         path = environ["PATH_INFO"]
         if path in (COMPLETIONS_PATH, CHAT_PATH):
-            _expect(environ, "POST")
+            _require_method(environ, "POST")
             return self._completion(environ, holder, path == CHAT_PATH)
         if path == MODELS_PATH:
-            _expect(environ, "GET")
+            _require_method(environ, "GET")
             return self._models()
         if path.startswith(SERVICES_PATH):
             return self._service(environ, holder)
@@ -84,62 +84,64 @@
 
     def _completion(self, environ: Environ, holder: Holder, chat: bool) -> Response:
         body = read_body(environ, self.max_body_bytes, self.body_timeout)
-        ask = wire.decode_ask(body, chat)
-        request = self._completion_request(environ, holder, ask)
-        writer = wire.Writer(request.id, ask)
+        params = wire.decode_params(body, chat)
+        request = self._completion_request(environ, holder, params)
+        writer = wire.AnswerWriter(request.id, params)
         claim = self.router.claim(request, _digest(environ, body))
         if isinstance(claim, StoredAnswer):
-            return _replayed(writer, claim.answer)
-        if ask.stream:
+            return _stored_response(writer, claim.answer)
+        if params.stream:
             return self._streamed(environ, request, writer, claim)
-        return self._whole(environ, request, writer, claim)
+        return self._unstreamed(environ, request, writer, claim)
 
-    def _completion_request(self, environ: Environ, holder: Holder, ask: wire.Ask) -> Completion:
+    def _completion_request(
+        self, environ: Environ, holder: Holder, params: wire.CompletionParams
+    ) -> Completion:
         tree = self.router.tree
-        if ask.model not in tree.models:
-            raise NotFound(f"unknown model {ask.model!r}", step="read", peer="caller")
-        model = ModelName(ask.model)
+        if params.model not in tree.models:
+            raise NotFound(f"unknown model {params.model!r}", step="read", peer="caller")
+        model = ModelName(params.model)
         repeatable = _repeatable(environ, True)
         return Completion(
             id=_new_id(),
             account=holder.account,
             group=holder.group,
             priority=priority_of(tree, holder.group),
-            deadline=now() + self._seconds(environ, holder),
+            deadline=now() + self._timeout(environ, holder),
             repeatable=repeatable,
             idempotency_key=_idempotency_key(environ, repeatable),
             model=model,
             version=self.router.admission.serving_version(model, version_of(tree, holder.group, model)),
-            prompt=ask.prompt,
-            max_tokens=ask.max_tokens,
+            prompt=params.prompt,
+            max_tokens=params.max_tokens,
         )
 
-    def _whole(
-        self, environ: Environ, request: Completion, writer: wire.Writer, claim: Claim | None
+    def _unstreamed(
+        self, environ: Environ, request: Completion, writer: wire.AnswerWriter, claim: Claim | None
     ) -> Response:
         answer = Answer()
-        with self.presence.watch(_socket(environ)):
+        with self.disconnects.watch(_socket(environ)):
             tokens = list(self.router.complete(request, answer, claim))
-        content = self._finished(writer, answer, claim)
+        content = self._finish(writer, answer, claim)
         assert tokens == answer.committed
-        return _answered(request.id, JSON_TYPE, content)
+        return _ok_response(request.id, JSON_TYPE, content)
 
     def _streamed(
-        self, environ: Environ, request: Completion, writer: wire.Writer, claim: Claim | None
+        self, environ: Environ, request: Completion, writer: wire.AnswerWriter, claim: Claim | None
     ) -> Response:
-        pieces = self._pieces(environ, request, writer, claim)
+        pieces = self._stream_events(environ, request, writer, claim)
         # Wait for the first piece before sending the head, so that an early failure gets its own status.
         first = next(pieces)
-        response = _answered(request.id, wire.STREAM_TYPE, b"")
+        response = _ok_response(request.id, wire.STREAM_TYPE, b"")
         response.headers.append(("Cache-Control", "no-store"))
-        response.chunks = _chained(first, pieces)
+        response.chunks = _chain(first, pieces)
         return response
 
-    def _pieces(
-        self, environ: Environ, request: Completion, writer: wire.Writer, claim: Claim | None
+    def _stream_events(
+        self, environ: Environ, request: Completion, writer: wire.AnswerWriter, claim: Claim | None
     ) -> Iterator[bytes]:
         answer = Answer()
-        with self.presence.watch(_socket(environ)):
+        with self.disconnects.watch(_socket(environ)):
             try:
                 for token in self.router.complete(request, answer, claim):
                     yield writer.token(token)
@@ -149,11 +151,11 @@
                 error.outcome = Outcome.UNKNOWN
                 yield writer.error(error)
                 return
-            self._finished(writer, answer, claim)
-            yield writer.end(_reason(answer))
+            self._finish(writer, answer, claim)
+            yield writer.end(_finish_reason(answer))
 
-    def _finished(self, writer: wire.Writer, answer: Answer, claim: Claim | None) -> bytes:
-        content = writer.whole(answer.committed, _reason(answer))
+    def _finish(self, writer: wire.AnswerWriter, answer: Answer, claim: Claim | None) -> bytes:
+        content = writer.whole(answer.committed, _finish_reason(answer))
         if claim is not None:
             headers = {"Content-Type": JSON_TYPE}
             self.router.claims.store_answer(claim, ServiceAnswer(status=200, headers=headers, body=content))
@@ -171,27 +173,27 @@
         claim = self.router.claim(request, _digest(environ, body))
         if isinstance(claim, StoredAnswer):
             return _service_response(request.id, claim.answer)
-        with self.presence.watch(_socket(environ)):
+        with self.disconnects.watch(_socket(environ)):
             return _service_response(request.id, self.router.call(request, claim))
 
     def _service_request(
-        self, environ: Environ, holder: Holder, name: ServiceName, by_default: bool, body: bytes
+        self, environ: Environ, holder: Holder, name: ServiceName, default: bool, body: bytes
     ) -> ServiceRequest:
-        repeatable = _repeatable(environ, by_default)
+        repeatable = _repeatable(environ, default)
         request_id = _new_id()
         return ServiceRequest(
             id=request_id,
             account=holder.account,
             group=holder.group,
             priority=priority_of(self.router.tree, holder.group),
-            deadline=now() + self._seconds(environ, holder),
+            deadline=now() + self._timeout(environ, holder),
             repeatable=repeatable,
             idempotency_key=_idempotency_key(environ, repeatable),
             service=name,
             call=_service_call(environ, name, body, request_id, holder),
         )
 
-    def _seconds(self, environ: Environ, holder: Holder) -> float:
+    def _timeout(self, environ: Environ, holder: Holder) -> float:
         """Return the timeout of a request in seconds; a caller can only shorten the group's limit."""
         allowed = deadline_of(self.router.tree, holder.group)
         text = request_header(environ, wire.DEADLINE_HEADER)
@@ -208,11 +210,11 @@
 
 
 def _socket(environ: Environ) -> socket.socket:
-    green: socket.socket = environ["eventlet.input"].get_socket()
-    return green
+    sock: socket.socket = environ["eventlet.input"].get_socket()
+    return sock
 
 
-def _expect(environ: Environ, method: str) -> None:
+def _require_method(environ: Environ, method: str) -> None:
     if environ["REQUEST_METHOD"] != method:
         raise MethodNotAllowed(f"this path supports only {method}", step="read", peer="caller")
 
@@ -221,24 +223,26 @@
     return RequestId(uuid.uuid4().hex)
 
 
-def _repeatable(environ: Environ, by_default: bool) -> bool:
+def _repeatable(environ: Environ, default: bool) -> bool:
     """Return whether a request can be repeated; a caller can only restrict the default."""
     text = request_header(environ, wire.REPEATABLE_HEADER)
     if text is None:
-        return by_default
-    if text not in REPEATABLE_WORDS:
+        return default
+    if text not in REPEATABLE_VALUES:
         message = f"{wire.REPEATABLE_HEADER} must be yes or no"
         raise InvalidRequest(message, step="read", peer="caller")
-    return by_default and REPEATABLE_WORDS[text]
+    return default and REPEATABLE_VALUES[text]
 
 
 def _idempotency_key(environ: Environ, repeatable: bool) -> str | None:
-    key = request_header(environ, wire.KEY_HEADER)
+    key = request_header(environ, wire.IDEMPOTENCY_KEY_HEADER)
     if key is None and not repeatable:
-        message = f"a request that must not be repeated needs the {wire.KEY_HEADER} header"
+        message = f"a request that must not be repeated needs the {wire.IDEMPOTENCY_KEY_HEADER} header"
         raise InvalidRequest(message, step="read", peer="caller")
     if key is not None and not (0 < len(key) <= wire.MAX_KEY_CHARACTERS and key.isprintable()):
-        message = f"{wire.KEY_HEADER} must have 1 to {wire.MAX_KEY_CHARACTERS} printable characters"
+        message = (
+            f"{wire.IDEMPOTENCY_KEY_HEADER} must have 1 to {wire.MAX_KEY_CHARACTERS} printable characters"
+        )
         raise InvalidRequest(message, step="read", peer="caller")
     return key
 
@@ -254,9 +258,9 @@
 ) -> ServiceCall:
     path = environ["RAW_PATH_INFO"].removeprefix(f"{SERVICES_PATH}{name}") or "/"
     query = environ.get("QUERY_STRING")
-    passed = {n: request_header(environ, n) for n in REQUEST_HEADERS}
-    passed["content-type"] = environ.get("CONTENT_TYPE")
-    headers = filter_headers({n: v for n, v in passed.items() if v}, REQUEST_HEADERS)
+    forwarded = {n: request_header(environ, n) for n in REQUEST_HEADERS}
+    forwarded["content-type"] = environ.get("CONTENT_TYPE")
+    headers = filter_headers({n: v for n, v in forwarded.items() if v}, REQUEST_HEADERS)
     headers[REQUEST_ID_HEADER] = request
     headers[GROUP_HEADER] = holder.group
     return ServiceCall(
@@ -272,27 +276,27 @@
     return Response(status=answer.status, headers=headers, content=answer.body)
 
 
-def _answered(request: RequestId, content_type: str, content: bytes) -> Response:
+def _ok_response(request: RequestId, content_type: str, content: bytes) -> Response:
     headers = [("Content-Type", content_type), (REQUEST_HEADER, request)]
     return Response(status=200, headers=headers, content=content)
 
 
-def _replayed(writer: wire.Writer, answer: ServiceAnswer) -> Response:
+def _stored_response(writer: wire.AnswerWriter, answer: ServiceAnswer) -> Response:
     """Return a stored completion; if the caller asked for a stream, all text goes out as one event."""
-    if not writer.ask.stream:
-        return _answered(RequestId(writer.request), JSON_TYPE, answer.body)
-    kept = msgspec.json.decode(answer.body, type=wire.Completion).choices[0]
-    text = kept.message.content if kept.message is not None else kept.text or ""
-    response = _answered(RequestId(writer.request), wire.STREAM_TYPE, b"")
-    response.chunks = [writer.token(text), writer.end(kept.finish_reason or "stop")]
+    if not writer.params.stream:
+        return _ok_response(RequestId(writer.request), JSON_TYPE, answer.body)
+    choice = msgspec.json.decode(answer.body, type=wire.Completion).choices[0]
+    text = choice.message.content if choice.message is not None else choice.text or ""
+    response = _ok_response(RequestId(writer.request), wire.STREAM_TYPE, b"")
+    response.chunks = [writer.token(text), writer.end(choice.finish_reason or "stop")]
     return response
 
 
-def _reason(answer: Answer) -> str:
+def _finish_reason(answer: Answer) -> str:
     return (answer.reason or EndReason.STOP).value
 
 
-def _chained(first: bytes, rest: Iterator[bytes]) -> Iterator[bytes]:
+def _chain(first: bytes, rest: Iterator[bytes]) -> Iterator[bytes]:
     try:
         yield first
         yield from rest
--- a/bayglade/callers/server.py
+++ b/bayglade/callers/server.py
@@ -13,20 +13,20 @@
 import eventlet
 import eventlet.wsgi
 
-BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+BAD_REQUEST_RESPONSE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 IDLE_TIMEOUT = 60.0
 SOCKET_TIMEOUT = 60.0
 SINGLE_HEADERS = ("content-length", "transfer-encoding", "host", "authorization", "idempotency-key")
 
 
-class _NoLog:
+class _NullLog:
     """Discards the output of the WSGI server; requests are logged elsewhere."""
 
     def write(self, _: str) -> None:
         """Discard a line."""
 
 
-def protocol(header_timeout: float) -> type[eventlet.wsgi.HttpProtocol]:
+def create_protocol_class(header_timeout: float) -> type[eventlet.wsgi.HttpProtocol]:
     """Create a protocol class that limits the time for each request head.
 
     :param header_timeout: maximum seconds from the first to the last byte of a head.
@@ -37,12 +37,12 @@
         """eventlet's HTTP protocol with a timeout for request heads and a check for duplicate headers."""
 
         def _read_request_line(self) -> Any:
-            if not self._begun():
+            if not self._wait_for_request():
                 return ""
-            self.guard = eventlet.spawn_after(header_timeout, self._give_up)
+            self.guard = eventlet.spawn_after(header_timeout, self._shut_down)
             return super()._read_request_line()
 
-        def _begun(self) -> bool:
+        def _wait_for_request(self) -> bool:
             """Wait for the first byte of the next request, at most for the idle timeout."""
             try:
                 self.connection.settimeout(IDLE_TIMEOUT)
@@ -50,7 +50,7 @@
             except (OSError, ValueError):
                 return False
 
-        def _give_up(self) -> None:
+        def _shut_down(self) -> None:
             with suppress(OSError):
                 self.connection.shutdown(socket.SHUT_RDWR)
 
@@ -59,8 +59,8 @@
                 good = super().parse_request()
             finally:
                 self.guard.cancel()
-            if good and self._doubled():
-                self.wfile.write(BAD_REQUEST)
+            if good and self._has_duplicate_headers():
+                self.wfile.write(BAD_REQUEST_RESPONSE)
                 self.close_connection = True
                 return False
             return bool(good)
@@ -74,10 +74,10 @@
 
         def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
             """Answer a malformed head with a plain 400 response that does not echo the request."""
-            self.wfile.write(BAD_REQUEST)
+            self.wfile.write(BAD_REQUEST_RESPONSE)
             self.close_connection = True
 
-        def _doubled(self) -> bool:
+        def _has_duplicate_headers(self) -> bool:
             return any(len(self.headers.get_all(name, ())) > 1 for name in SINGLE_HEADERS)
 
     return GuardedProtocol
@@ -100,11 +100,11 @@
         eventlet.wsgi.server(
             sock,
             application,
-            log=_NoLog(),
+            log=_NullLog(),
             log_output=False,
             debug=False,
             custom_pool=eventlet.GreenPool(max_connections),
-            protocol=protocol(header_timeout),
+            protocol=create_protocol_class(header_timeout),
             keepalive=IDLE_TIMEOUT,
             socket_timeout=SOCKET_TIMEOUT,
         )
--- a/bayglade/callers/wire.py
+++ b/bayglade/callers/wire.py
@@ -15,7 +15,7 @@
 DONE = b"data: [DONE]\n\n"
 MAX_TOKENS = 8192
 MAX_KEY_CHARACTERS = 200
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 REPEATABLE_HEADER = "Bayglade-Repeatable"
 DEADLINE_HEADER = "Bayglade-Deadline"
 STREAM_TYPE = "text/event-stream"
@@ -94,7 +94,7 @@
     object: Literal["list"] = "list"
 
 
-class Ask(msgspec.Struct):
+class CompletionParams(msgspec.Struct):
     """Parameters of a completion, from the body of either path."""
 
     model: str
@@ -104,7 +104,7 @@
     chat: bool
 
 
-def decode_ask(body: bytes, chat: bool) -> Ask:
+def decode_params(body: bytes, chat: bool) -> CompletionParams:
     """Decode and validate the body of a completion request.
 
     :param body: the JSON body.
@@ -114,44 +114,44 @@
     """
     try:
         if chat:
-            ask = _from_chat(msgspec.json.decode(body, type=ChatBody))
+            params = _from_chat(msgspec.json.decode(body, type=ChatBody))
         else:
             plain = msgspec.json.decode(body, type=CompletionBody)
-            ask = Ask(plain.model, plain.prompt, plain.max_tokens, plain.stream, False)
+            params = CompletionParams(plain.model, plain.prompt, plain.max_tokens, plain.stream, False)
     except (msgspec.DecodeError, RecursionError) as error:
         raise InvalidRequest(str(error), step="read", peer="caller") from error
-    if not 1 <= ask.max_tokens <= MAX_TOKENS:
+    if not 1 <= params.max_tokens <= MAX_TOKENS:
         message = f"max_tokens must be between 1 and {MAX_TOKENS}"
         raise InvalidRequest(message, step="read", peer="caller")
-    return ask
+    return params
 
 
-def _from_chat(body: ChatBody) -> Ask:
+def _from_chat(body: ChatBody) -> CompletionParams:
     # The length prefix prevents content from being mistaken for another message with its own role.
     prompt = "".join(f"{m.role}:{len(m.content)}:{m.content}\n" for m in body.messages)
-    return Ask(body.model, prompt, body.max_tokens, body.stream, True)
+    return CompletionParams(body.model, prompt, body.max_tokens, body.stream, True)
 
 
-class Writer:
+class AnswerWriter:
     """Encodes the answer to one request in the format of its path, plain or chat."""
 
-    def __init__(self, request: str, ask: Ask) -> None:
+    def __init__(self, request: str, params: CompletionParams) -> None:
         self.request = request
-        self.ask = ask
+        self.params = params
         self.created = int(time.time())
 
     def __repr__(self) -> str:
-        return f"<Writer {self.request}>"
+        return f"<AnswerWriter {self.request}>"
 
     def token(self, text: str) -> bytes:
         """Return the event for one token."""
-        if self.ask.chat:
+        if self.params.chat:
             return self._event(Choice(0, delta=ChatDelta(text)))
         return self._event(Choice(0, text=text))
 
     def end(self, reason: str) -> bytes:
         """Return the events that end a complete stream."""
-        delta = ChatDelta() if self.ask.chat else None
+        delta = ChatDelta() if self.params.chat else None
         return self._event(Choice(0, delta=delta, finish_reason=reason)) + DONE
 
     def error(self, error: BaygladeError) -> bytes:
@@ -163,15 +163,15 @@
         """Return the body of an answer that is not streamed."""
         text = "".join(tokens)
         choice = Choice(0, text=text, finish_reason=reason)
-        if self.ask.chat:
+        if self.params.chat:
             message = ChatMessage("assistant", text)
             choice = Choice(0, message=message, finish_reason=reason)
-        kind = "chat.completion" if self.ask.chat else "text_completion"
+        kind = "chat.completion" if self.params.chat else "text_completion"
         return msgspec.json.encode(self._completion(kind, choice, Usage(len(tokens))))
 
     def _event(self, choice: Choice) -> bytes:
-        kind = "chat.completion.chunk" if self.ask.chat else "text_completion"
+        kind = "chat.completion.chunk" if self.params.chat else "text_completion"
         return b"data: " + msgspec.json.encode(self._completion(kind, choice, None)) + b"\n\n"
 
     def _completion(self, kind: str, choice: Choice, usage: Usage | None) -> Completion:
-        return Completion(self.request, kind, self.created, self.ask.model, [choice], usage)
+        return Completion(self.request, kind, self.created, self.params.model, [choice], usage)
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -98,7 +98,7 @@
             self.rng,
         )
         self.presence = DisconnectWatcher(self.metrics)
-        self.callers = callers.Callers(
+        self.callers = callers.CallerApi(
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
         self.operators = Operators(config.member, self.router, self.revisions, self.membership, self.ready)
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -17,7 +17,7 @@
 
 
 def writer(chat):
-    made = wire.Writer("request-1", wire.Ask("guide", "p", 2, True, chat))
+    made = wire.AnswerWriter("request-1", wire.CompletionParams("guide", "p", 2, True, chat))
     made.created = 0
     return made
 
