--- a/bayglade/engines/__init__.py
+++ b/bayglade/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Model engines: backend servers that hold a range of layers."""
+"""Client for model engines: backend servers that each hold a range of a model's layers."""
 
 from bayglade.engines.client import Engines, create_engines
 
--- a/bayglade/engines/client.py
+++ b/bayglade/engines/client.py
@@ -1,4 +1,4 @@
-"""Client of the model engines: streams of frames, cancelling and load."""
+"""Client for the model engines: token streams, cancellation, load reports and orders."""
 
 from collections.abc import Iterator
 from contextlib import suppress
@@ -18,7 +18,7 @@
 
 
 class Engines:
-    """Pooled connections to the engines, by address."""
+    """Sends requests to engines over a connection pool per address."""
 
     def __init__(self) -> None:
         self.pools: dict[str, urllib3.HTTPConnectionPool] = {}
@@ -27,16 +27,16 @@
         return f"<Engines {len(self.pools)} pools>"
 
     def stream(self, order: wire.Generate, gap_timeout: float) -> Iterator[wire.Frame]:
-        """Run one attempt and yield its frames until its end or its error.
+        """Run one attempt and yield its frames.
 
-        A connection is pooled again only after the whole answer was read.
+        The connection returns to its pool only if the whole answer was read.
 
         :param order: the attempt, sent to its first stage.
-        :param gap_timeout: seconds of silence after which the attempt has failed.
-        :return: frames as they come; strays are not filtered here.
-        :raises BackendUnreachable: when no byte was sent.
-        :raises BackendRefused: when the engine refused before running.
-        :raises BackendError: when the stream broke, fell silent or made no sense.
+        :param gap_timeout: seconds without data after which the attempt has failed.
+        :return: the frames as they arrive, including any that belong to other attempts.
+        :raises BackendUnreachable: if no byte was sent.
+        :raises BackendRefused: if the engine refused before running the attempt.
+        :raises BackendError: if the stream broke, timed out or was malformed.
         """
         head = order.stages[0]
         response = self._open(head, order, gap_timeout)
@@ -49,29 +49,29 @@
                     continue
                 yield frame
         except BackendError:
-            # What follows the end frame does not matter to the answer.
+            # An error after the end frame does not affect the answer.
             if end is None:
                 raise
         finally:
-            # Closes the connection unless its answer was read to the last byte.
+            # Closes the connection unless the answer was read to the last byte.
             response.close()
         if end is not None:
             yield end
 
     def cancel(self, stage: wire.Stage, message: wire.Cancel) -> bool:
-        """Tell an engine to stop an attempt.
+        """Cancel an attempt on an engine.
 
         :param stage: the engine.
         :param message: the attempt.
-        :return: whether the engine confirmed.
+        :return: whether the engine confirmed the cancellation.
         """
         return self._ask(stage.address, "POST", wire.CANCEL_PATH, msgspec.json.encode(message)) is not None
 
     def load(self, address: str) -> wire.Load | None:
-        """Ask an engine for its load.
+        """Fetch the load of an engine.
 
-        :param address: the engine.
-        :return: the load; nothing when the engine does not answer in time.
+        :param address: the engine's address.
+        :return: the load, or None if the engine does not answer in time or its answer is malformed.
         """
         body = self._ask(address, "GET", wire.LOAD_PATH, None)
         if body is None:
@@ -81,18 +81,18 @@
         return None
 
     def order(self, address: str, message: wire.HoldVersion) -> bool:
-        """Order an engine to hold a version.
+        """Order an engine to hold a model version.
 
-        :param address: the engine.
-        :param message: the order, with the epoch it is given under.
-        :return: whether the engine took it; a repeat is harmless.
+        :param address: the engine's address.
+        :param message: the order, with the lease epoch under which it is given.
+        :return: whether the engine accepted the order; sending it again is harmless.
         """
         return self._ask(address, "POST", wire.ORDER_PATH, msgspec.json.encode(message)) is not None
 
     def forget(self, addresses: set[str]) -> None:
         """Close the pools of engines that are no longer listed.
 
-        :param addresses: the engines to keep.
+        :param addresses: addresses of the engines to keep.
         """
         for address in set(self.pools) - addresses:
             self.pools.pop(address).close()
@@ -139,17 +139,17 @@
                 *lines, rest = (rest + chunk).split(b"\n")
                 yield from lines
                 if len(rest) > wire.MAX_FRAME_BYTES:
-                    raise BackendError("a frame is too long", step="stream", peer=head.backend)
+                    raise BackendError("a frame exceeds the size limit", step="stream", peer=head.backend)
         except ReadTimeoutError as error:
-            raise BackendError("the stream fell silent", step="stream", peer=head.backend) from error
+            raise BackendError("the stream timed out", step="stream", peer=head.backend) from error
         except HTTPError as error:
-            raise BackendError("the stream was cut", step="stream", peer=head.backend) from error
+            raise BackendError("the stream was interrupted", step="stream", peer=head.backend) from error
 
     def _decode(self, head: wire.Stage, line: bytes) -> wire.Frame:
         try:
             return wire.decode_frame(line)
         except msgspec.DecodeError as error:
-            raise BackendError("a frame makes no sense", step="stream", peer=head.backend) from error
+            raise BackendError("malformed frame", step="stream", peer=head.backend) from error
 
     def _ask(self, address: str, method: str, path: str, body: bytes | None) -> bytes | None:
         timeout = urllib3.Timeout(connect=PROBE_TIMEOUT, read=PROBE_TIMEOUT)
@@ -163,5 +163,5 @@
 
 
 def create_engines() -> Engines:
-    """Build the client of the engines, with no connection yet."""
+    """Create the client; it connects when it is first used."""
     return Engines()
--- a/bayglade/engines/wire.py
+++ b/bayglade/engines/wire.py
@@ -1,8 +1,8 @@
 """Messages between a daemon and a model engine: JSON lines over HTTP.
 
 A daemon posts :class:`Generate` to the engine of the first stage and reads
-frames, one JSON object a line. Engines pass activations among themselves along
-the stages of the order; no activation crosses an entry host.
+frames, one JSON object per line. The engines pass activations directly to one
+another along the stages of the order, so none passes through an entry host.
 """
 
 import msgspec
@@ -18,7 +18,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True):
-    """One engine of a route and the layers ``[first, last)`` it is told to run."""
+    """An engine of a route and the layers ``[first, last)`` that it runs."""
 
     backend: BackendId
     address: str
@@ -27,10 +27,10 @@
 
 
 class Generate(msgspec.Struct, frozen=True, kw_only=True):
-    """Orders one attempt at a completion.
+    """Order to run one attempt at a completion.
 
-    ``committed`` holds the tokens the caller already has: the attempt goes on
-    after them. ``salt`` separates the prefix caches of groups.
+    ``committed`` holds the tokens that the caller already has; the attempt
+    continues after them. ``salt`` keeps the prefix caches of groups separate.
     """
 
     request: RequestId
@@ -46,14 +46,14 @@
 
 
 class Cancel(msgspec.Struct, frozen=True):
-    """Stops an attempt and every older one of the same request."""
+    """Cancels an attempt and all earlier attempts at the same request."""
 
     request: RequestId
     attempt: AttemptNumber
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What an engine reports of itself, with a lag."""
+    """An engine's report of its own load; it may be slightly outdated."""
 
     running: int
     waiting: int
@@ -64,7 +64,7 @@
 
 
 class HoldVersion(msgspec.Struct, frozen=True):
-    """Orders an engine to hold just one version; an engine that checks refuses older epochs."""
+    """Order to hold exactly one version. Engines that check orders refuse those with an older epoch."""
 
     epoch: int
     model: ModelName
@@ -72,7 +72,7 @@
 
 
 class TokenFrame(msgspec.Struct, frozen=True, tag="token"):
-    """One token of an attempt, at its index in the whole answer."""
+    """One token of an attempt, with its index in the whole answer."""
 
     request: RequestId
     attempt: AttemptNumber
@@ -81,7 +81,7 @@
 
 
 class EndFrame(msgspec.Struct, frozen=True, tag="end"):
-    """The answer is whole: how many tokens it has and why it ended."""
+    """End of a complete answer, with its number of tokens and the reason why it ended."""
 
     request: RequestId
     attempt: AttemptNumber
@@ -91,7 +91,7 @@
 
 
 class ErrorFrame(msgspec.Struct, frozen=True, tag="error"):
-    """The attempt ended early at a stage."""
+    """The attempt failed at a stage."""
 
     request: RequestId
     attempt: AttemptNumber
@@ -105,10 +105,10 @@
 
 
 def decode_frame(line: bytes) -> Frame:
-    """Read one line of a stream.
+    """Decode one line of a stream.
 
-    :param line: JSON, without the line end.
+    :param line: JSON, without the line terminator.
     :return: the frame.
-    :raises msgspec.DecodeError: when the line is no frame.
+    :raises msgspec.DecodeError: if the line is not a valid frame.
     """
     return _decoder.decode(line)
--- a/bayglade/services/__init__.py
+++ b/bayglade/services/__init__.py
@@ -1,4 +1,4 @@
-"""Plain services beside the model engines."""
+"""Client for plain HTTP services, which the router calls besides the model engines."""
 
 from bayglade.services.client import Services, create_services
 
--- a/bayglade/services/client.py
+++ b/bayglade/services/client.py
@@ -1,4 +1,4 @@
-"""Client of the plain services."""
+"""HTTP client for plain services."""
 
 import urllib3
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError
@@ -13,7 +13,7 @@
 
 
 class Services:
-    """Pooled connections to the servers of plain services, by address."""
+    """Calls the servers of plain services over a connection pool per address."""
 
     def __init__(self) -> None:
         self.pools: dict[str, urllib3.HTTPConnectionPool] = {}
@@ -24,17 +24,17 @@
     def call(
         self, backend: BackendId, address: str, call: ServiceCall, timeout: float, fresh: bool
     ) -> ServiceAnswer:
-        """Send one call and read its whole answer. It is never sent twice here.
+        """Send a call once, without retries, and read the whole answer.
 
         :param backend: the server's id.
         :param address: the server's address.
         :param call: the call.
-        :param timeout: seconds without a byte after which the call has failed.
-        :param fresh: open a new connection, so that a pooled one that the server
-            has just closed cannot leave the outcome unknown.
+        :param timeout: seconds without data after which the call has failed.
+        :param fresh: open a new connection. A pooled one may just have been closed
+            by the server, which would leave the outcome unknown.
         :return: the answer.
-        :raises BackendUnreachable: when no byte was sent.
-        :raises BackendError: when the outcome is unknown.
+        :raises BackendUnreachable: if no byte was sent.
+        :raises BackendError: if the outcome is unknown.
         """
         pool = self._new_pool(address) if fresh else self._pool(address)
         try:
@@ -60,7 +60,7 @@
         except (NewConnectionError, ConnectTimeoutError) as error:
             raise BackendUnreachable("cannot connect", step="connect", peer=backend) from error
         except HTTPError as error:
-            raise BackendError("no whole answer", step="call", peer=backend) from error
+            raise BackendError("incomplete answer", step="call", peer=backend) from error
         headers = filter_headers(dict(response.headers), RESPONSE_HEADERS)
         return ServiceAnswer(status=response.status, headers=headers, body=response.data)
 
@@ -75,5 +75,5 @@
 
 
 def create_services() -> Services:
-    """Build the client of the plain services, with no connection yet."""
+    """Create the client; it connects when it is first used."""
     return Services()
--- a/bayglade/services/wire.py
+++ b/bayglade/services/wire.py
@@ -1,4 +1,4 @@
-"""Which headers pass between callers and plain services, and how calls look."""
+"""Calls to plain services and their answers, and the headers that are forwarded in either direction."""
 
 import msgspec
 
@@ -6,14 +6,14 @@
 GROUP_HEADER = "Bayglade-Group"
 
 REQUEST_HEADERS = frozenset({"accept", "accept-language", "content-type"})
-"""Headers of a caller that reach a service; all others stay behind."""
+"""Headers of a caller that are forwarded to a service; all others are dropped."""
 
 RESPONSE_HEADERS = frozenset({"content-type", "cache-control", "etag", "last-modified"})
-"""Headers of a service that reach the caller."""
+"""Headers of a service that are forwarded to the caller."""
 
 
 class ServiceCall(msgspec.Struct, frozen=True, kw_only=True):
-    """A call to a plain service, already filtered."""
+    """A call to a plain service, with its headers already filtered."""
 
     method: str
     path: str
@@ -22,7 +22,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole answer of a plain service."""
+    """A complete answer of a plain service."""
 
     status: int
     headers: dict[str, str]
@@ -30,10 +30,9 @@
 
 
 def filter_headers(headers: dict[str, str], allowed: frozenset[str]) -> dict[str, str]:
-    """Keep only the headers that may pass.
+    """Return only the headers that are allowed.
 
-    :param headers: names and values.
-    :param allowed: names in lower case.
-    :return: the ones that pass.
+    :param headers: header values by name.
+    :param allowed: allowed names, in lower case.
     """
     return {name: value for name, value in headers.items() if name.lower() in allowed}
--- a/bayglade/table/__init__.py
+++ b/bayglade/table/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's service: table, object store and host list."""
+"""Client for the platform service: its table, object store and host list."""
 
 from bayglade.table.client import Platform, create_platform
 
--- a/bayglade/table/client.py
+++ b/bayglade/table/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's service, over pooled HTTP connections."""
+"""HTTP client for the platform service."""
 
 import msgspec
 import urllib3
@@ -17,7 +17,7 @@
 
 
 class Platform:
-    """One platform as seen by one daemon; holds only pooled connections."""
+    """Client of the platform for one daemon. Its only state is pooled connections."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -35,30 +35,30 @@
     def read(self, keys: list[str]) -> dict[str, Row]:
         """Read rows of the table in one request.
 
-        :param keys: the rows wanted.
+        :param keys: keys of the rows.
         :return: the rows that exist.
-        :raises PlatformUnavailable: when the table does not answer.
+        :raises PlatformUnavailable: if the platform does not answer.
         """
         body = self._post("read", wire.TABLE_READ_PATH, wire.ReadRows(keys), PlatformUnavailable)
         return msgspec.json.decode(body, type=wire.Rows).rows
 
     def transact(self, transaction: Transaction) -> TransactionResult:
-        """Write rows together, when all conditions hold.
+        """Write rows atomically if all conditions hold.
 
         :param transaction: conditions and writes.
-        :return: whether it took effect.
-        :raises PlatformUnavailable: when nothing was written.
-        :raises PlatformAnswerLost: when it may have taken effect.
+        :return: whether it was committed.
+        :raises PlatformUnavailable: if nothing was written.
+        :raises PlatformAnswerLost: if it may have been committed.
         """
         body = self._post("transact", wire.TABLE_TRANSACT_PATH, transaction, PlatformAnswerLost)
         return msgspec.json.decode(body, type=TransactionResult)
 
     def put_object(self, digest: Digest, content: bytes) -> None:
-        """Store content under its digest; storing it twice is harmless.
+        """Store content under its digest; the operation is idempotent.
 
         :param digest: SHA-256 of the content.
-        :param content: the bytes.
-        :raises PlatformUnavailable: when the store does not answer.
+        :param content: the bytes to store.
+        :raises PlatformUnavailable: if the platform does not answer.
         """
         self._request("put", "PUT", wire.OBJECT_PATH + digest, content, PlatformUnavailable)
 
@@ -66,17 +66,17 @@
         """Fetch content by digest.
 
         :param digest: SHA-256 of the content.
-        :return: the bytes, as stored; the caller checks the digest.
-        :raises NotFound: when the store has no such object.
-        :raises PlatformUnavailable: when the store does not answer.
+        :return: the stored bytes; verifying the digest is up to the caller.
+        :raises NotFound: if there is no such object.
+        :raises PlatformUnavailable: if the platform does not answer.
         """
         return self._request("get", "GET", wire.OBJECT_PATH + digest, None, PlatformUnavailable)
 
     def hosts(self) -> list[wire.Host]:
-        """Read the host list.
+        """Fetch the host list.
 
-        :return: live and leaving hosts, as the platform knows them.
-        :raises PlatformUnavailable: when the platform does not answer.
+        :return: the live and leaving hosts that the platform lists.
+        :raises PlatformUnavailable: if the platform does not answer.
         """
         body = self._request("hosts", "GET", wire.HOSTS_PATH, None, PlatformUnavailable)
         return msgspec.json.decode(body, type=wire.Hosts).hosts
@@ -96,12 +96,12 @@
             message = "the platform cannot be reached"
             raise PlatformUnavailable(message, step=step, peer=peer, retry_after=RETRY_AFTER) from error
         except HTTPError as error:
-            message = "the platform's answer was lost"
+            message = "no complete answer from the platform"
             raise lost(message, step=step, peer=peer, retry_after=RETRY_AFTER) from error
         if response.status == 404:
             raise NotFound(f"the platform has no {path}", step=step, peer=peer)
         if response.status == 503:
-            message = "the platform refused"
+            message = "the platform rejected the request"
             raise PlatformUnavailable(message, step=step, peer=peer, retry_after=RETRY_AFTER)
         if response.status >= 300:
             message = f"the platform answered {response.status}"
@@ -110,9 +110,8 @@
 
 
 def create_platform(address: str) -> Platform:
-    """Build the client of a platform.
+    """Create the client of a platform; it connects when it is first used.
 
-    :param address: IP number and port.
-    :return: the client; nothing is sent yet.
+    :param address: IP address and port.
     """
     return Platform(parse_address(address))
--- a/bayglade/table/wire.py
+++ b/bayglade/table/wire.py
@@ -1,4 +1,4 @@
-"""Messages between a daemon and the platform's service: JSON over HTTP."""
+"""Messages between a daemon and the platform service: JSON over HTTP."""
 
 from enum import Enum
 
@@ -13,33 +13,33 @@
 
 
 class ReadRows(msgspec.Struct, frozen=True):
-    """Asks for several rows at once."""
+    """Request to read several rows."""
 
     keys: list[str]
 
 
 class Rows(msgspec.Struct, frozen=True):
-    """The rows that exist among those asked for."""
+    """The requested rows that exist, by key."""
 
     rows: dict[str, Row]
 
 
 class HostState(Enum):
-    """What the host list says of a host."""
+    """State of a host in the host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class HostKind(Enum):
-    """What runs on a host."""
+    """What a host runs: a daemon (``ENTRY``) or a backend server."""
 
     ENTRY = "entry"
     BACKEND = "backend"
 
 
 class Host(msgspec.Struct, frozen=True):
-    """One line of the host list; the address of an entry host is for peer streams."""
+    """An entry of the host list. The address of an entry host is the one for streams between daemons."""
 
     id: str
     kind: HostKind
@@ -49,6 +49,6 @@
 
 
 class Hosts(msgspec.Struct, frozen=True):
-    """The host list, which lags."""
+    """The host list; it may be outdated."""
 
     hosts: list[Host]
