--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -210,7 +210,7 @@
         directory = Directory(current.tree)
         self.callers.directory = directory
         self.operators.directory = directory
-        self.engines.forget({backend.address for backend in current.tree.backends.values()})
+        self.engines.close_unlisted({backend.address for backend in current.tree.backends.values()})
         self._update_leaving()
         self.membership.changed(previous, current)
         self.metrics.gauge("settings.revision", current.revision)
--- a/bayglade/engines/client.py
+++ b/bayglade/engines/client.py
@@ -26,24 +26,24 @@
     def __repr__(self) -> str:
         return f"<Engines {len(self.pools)} pools>"
 
-    def stream(self, order: wire.Generate, gap_timeout: float) -> Iterator[wire.Frame]:
+    def stream(self, message: wire.Generate, gap_timeout: float) -> Iterator[wire.Frame]:
         """Run one attempt and yield its frames.
 
         The connection returns to its pool only if the whole answer was read.
 
-        :param order: the attempt, sent to its first stage.
+        :param message: the attempt, sent to its first stage.
         :param gap_timeout: seconds without data after which the attempt has failed.
         :return: the frames as they arrive, including any that belong to other attempts.
         :raises BackendUnreachable: if no byte was sent.
         :raises BackendRefused: if the engine refused before running the attempt.
         :raises BackendError: if the stream broke, timed out or was malformed.
         """
-        head = order.stages[0]
-        response = self._open(head, order, gap_timeout)
+        first_stage = message.stages[0]
+        response = self._open(first_stage, message, gap_timeout)
         end: wire.EndFrame | None = None
         try:
-            for line in self._lines(head, response):
-                frame = self._decode(head, line)
+            for line in self._read_lines(first_stage, response):
+                frame = self._decode_frame(first_stage, line)
                 if isinstance(frame, wire.EndFrame):
                     end = frame
                     continue
@@ -65,7 +65,9 @@
         :param message: the attempt.
         :return: whether the engine confirmed the cancellation.
         """
-        return self._ask(stage.address, "POST", wire.CANCEL_PATH, msgspec.json.encode(message)) is not None
+        return (
+            self._request(stage.address, "POST", wire.CANCEL_PATH, msgspec.json.encode(message)) is not None
+        )
 
     def load(self, address: str) -> wire.Load | None:
         """Fetch the load of an engine.
@@ -73,7 +75,7 @@
         :param address: the engine's address.
         :return: the load, or None if the engine does not answer in time or its answer is malformed.
         """
-        body = self._ask(address, "GET", wire.LOAD_PATH, None)
+        body = self._request(address, "GET", wire.LOAD_PATH, None)
         if body is None:
             return None
         with suppress(msgspec.DecodeError):
@@ -87,30 +89,32 @@
         :param message: the order, with the lease epoch under which it is given.
         :return: whether the engine accepted the order; sending it again is harmless.
         """
-        return self._ask(address, "POST", wire.ORDER_PATH, msgspec.json.encode(message)) is not None
+        return self._request(address, "POST", wire.ORDER_PATH, msgspec.json.encode(message)) is not None
 
-    def forget(self, addresses: set[str]) -> None:
+    def close_unlisted(self, listed: set[str]) -> None:
         """Close the pools of engines that are no longer listed.
 
-        :param addresses: addresses of the engines to keep.
+        :param listed: addresses of the engines to keep.
         """
-        for address in set(self.pools) - addresses:
+        for address in set(self.pools) - listed:
             self.pools.pop(address).close()
 
     def _pool(self, address: str) -> urllib3.HTTPConnectionPool:
         pool = self.pools.get(address)
         if pool is None:
-            where = parse_address(address)
-            pool = urllib3.HTTPConnectionPool(where.host, where.port, maxsize=POOL_SIZE, retries=False)
+            parsed = parse_address(address)
+            pool = urllib3.HTTPConnectionPool(parsed.host, parsed.port, maxsize=POOL_SIZE, retries=False)
             self.pools[address] = pool
         return pool
 
-    def _open(self, head: wire.Stage, order: wire.Generate, gap_timeout: float) -> urllib3.BaseHTTPResponse:
+    def _open(
+        self, first_stage: wire.Stage, message: wire.Generate, gap_timeout: float
+    ) -> urllib3.BaseHTTPResponse:
         try:
-            response = self._pool(head.address).urlopen(
+            response = self._pool(first_stage.address).urlopen(
                 "POST",
                 wire.GENERATE_PATH,
-                body=msgspec.json.encode(order),
+                body=msgspec.json.encode(message),
                 headers={"Content-Type": "application/json"},
                 timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT, read=gap_timeout),
                 retries=False,
@@ -118,40 +122,44 @@
                 preload_content=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
-            raise BackendUnreachable("cannot connect", step="connect", peer=head.backend) from error
+            raise BackendUnreachable("cannot connect", step="connect", peer=first_stage.backend) from error
         except HTTPError as error:
-            raise BackendError("no answer", step="send", peer=head.backend) from error
+            raise BackendError("no answer", step="send", peer=first_stage.backend) from error
         if response.status != 200:
             response.close()
-            self._raise_for_status(head, response.status)
+            self._raise_for_status(first_stage, response.status)
         return response
 
-    def _raise_for_status(self, head: wire.Stage, status: int) -> None:
+    def _raise_for_status(self, first_stage: wire.Stage, status: int) -> None:
         message = f"the engine answered {status}"
         if status in (400, 404, 409, 429, 503):
-            raise BackendRefused(message, step="generate", peer=head.backend)
-        raise BackendError(message, step="generate", peer=head.backend)
+            raise BackendRefused(message, step="generate", peer=first_stage.backend)
+        raise BackendError(message, step="generate", peer=first_stage.backend)
 
-    def _lines(self, head: wire.Stage, response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+    def _read_lines(self, first_stage: wire.Stage, response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
         rest = b""
         try:
             for chunk in response.read_chunked(READ_BYTES):
                 *lines, rest = (rest + chunk).split(b"\n")
                 yield from lines
                 if len(rest) > wire.MAX_FRAME_BYTES:
-                    raise BackendError("a frame exceeds the size limit", step="stream", peer=head.backend)
+                    raise BackendError(
+                        "a frame exceeds the size limit", step="stream", peer=first_stage.backend
+                    )
         except ReadTimeoutError as error:
-            raise BackendError("the stream timed out", step="stream", peer=head.backend) from error
+            raise BackendError("the stream timed out", step="stream", peer=first_stage.backend) from error
         except HTTPError as error:
-            raise BackendError("the stream was interrupted", step="stream", peer=head.backend) from error
+            raise BackendError(
+                "the stream was interrupted", step="stream", peer=first_stage.backend
+            ) from error
 
-    def _decode(self, head: wire.Stage, line: bytes) -> wire.Frame:
+    def _decode_frame(self, first_stage: wire.Stage, line: bytes) -> wire.Frame:
         try:
             return wire.decode_frame(line)
         except msgspec.DecodeError as error:
-            raise BackendError("malformed frame", step="stream", peer=head.backend) from error
+            raise BackendError("malformed frame", step="stream", peer=first_stage.backend) from error
 
-    def _ask(self, address: str, method: str, path: str, body: bytes | None) -> bytes | None:
+    def _request(self, address: str, method: str, path: str, body: bytes | None) -> bytes | None:
         timeout = urllib3.Timeout(connect=PROBE_TIMEOUT, read=PROBE_TIMEOUT)
         try:
             response = self._pool(address).urlopen(
--- a/bayglade/services/client.py
+++ b/bayglade/services/client.py
@@ -70,8 +70,8 @@
         return self.pools[address]
 
     def _new_pool(self, address: str) -> urllib3.HTTPConnectionPool:
-        where = parse_address(address)
-        return urllib3.HTTPConnectionPool(where.host, where.port, maxsize=POOL_SIZE, retries=False)
+        parsed = parse_address(address)
+        return urllib3.HTTPConnectionPool(parsed.host, parsed.port, maxsize=POOL_SIZE, retries=False)
 
 
 def create_services() -> Services:
--- a/bayglade/table/client.py
+++ b/bayglade/table/client.py
@@ -82,12 +82,12 @@
         return msgspec.json.decode(body, type=wire.Hosts).hosts
 
     def _post(
-        self, step: str, path: str, message: msgspec.Struct, lost: type[PlatformUnavailable]
+        self, step: str, path: str, message: msgspec.Struct, lost_error: type[PlatformUnavailable]
     ) -> bytes:
-        return self._request(step, "POST", path, msgspec.json.encode(message), lost)
+        return self._request(step, "POST", path, msgspec.json.encode(message), lost_error)
 
     def _request(
-        self, step: str, method: str, path: str, body: bytes | None, lost: type[PlatformUnavailable]
+        self, step: str, method: str, path: str, body: bytes | None, lost_error: type[PlatformUnavailable]
     ) -> bytes:
         peer = str(self.address)
         try:
@@ -97,7 +97,7 @@
             raise PlatformUnavailable(message, step=step, peer=peer, retry_after=RETRY_AFTER) from error
         except HTTPError as error:
             message = "no complete answer from the platform"
-            raise lost(message, step=step, peer=peer, retry_after=RETRY_AFTER) from error
+            raise lost_error(message, step=step, peer=peer, retry_after=RETRY_AFTER) from error
         if response.status == 404:
             raise NotFound(f"the platform has no {path}", step=step, peer=peer)
         if response.status == 503:
@@ -105,7 +105,7 @@
             raise PlatformUnavailable(message, step=step, peer=peer, retry_after=RETRY_AFTER)
         if response.status >= 300:
             message = f"the platform answered {response.status}"
-            raise lost(message, step=step, peer=peer, retry_after=RETRY_AFTER)
+            raise lost_error(message, step=step, peer=peer, retry_after=RETRY_AFTER)
         return response.data
 
 
