--- a/bayglade/operators/__init__.py
+++ b/bayglade/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators: the administration API and the commands on top of it."""
+"""The administration API for operators, its client, and the operators' commands."""
--- a/bayglade/operators/api.py
+++ b/bayglade/operators/api.py
@@ -1,4 +1,4 @@
-"""The administration API: operators read and change the settings tree over HTTP."""
+"""The administration API, by which operators read and change the settings tree over HTTP."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -31,7 +31,7 @@
 
 
 class Operators:
-    """The API towards operators."""
+    """Authenticates operators and answers their requests."""
 
     def __init__(
         self,
@@ -62,11 +62,11 @@
         return f"<Operators {self.directory!r}>"
 
     def handle(self, environ: Environ) -> Response:
-        """Serve one request of an operator.
+        """Handle one request of an operator.
 
-        :param environ: the request's environment.
-        :return: the answer.
-        :raises BaygladeError: when there is none.
+        :param environ: the WSGI environment of the request.
+        :return: the response.
+        :raises BaygladeError: if the request is rejected or fails.
         """
         holder = self.directory.operator(bearer_key(environ))
         path = environ["PATH_INFO"]
@@ -74,17 +74,17 @@
         if page is not None:
             return page(environ, holder)
         if any(name.endswith(" " + path) for name in self.pages):
-            raise MethodNotAllowed("no such method", step="read", peer="operator")
-        raise NotFound(f"no page {path!r}", step="read", peer="operator")
+            raise MethodNotAllowed("method not supported", step="read", peer="operator")
+        raise NotFound(f"no such path: {path!r}", step="read", peer="operator")
 
     def settings(self, _: Environ, holder: OperatorHolder) -> Response:
-        """Show the settings in force, as far as the operator may see them."""
+        """Return the current settings, limited to what the operator may see."""
         current = self.revisions.current
         document = scoped_document(current.document, holder.subtree)
         return json_response(wire.SettingsAnswer(current.revision, current.digest, document))
 
     def change(self, environ: Environ, holder: OperatorHolder) -> Response:
-        """Accept a change and tell where it is in force."""
+        """Apply a change, then return which daemons have it in force."""
         asked = _decode(environ, Change)
         author = Author(holder.name, holder.subtree, environ.get("REMOTE_ADDR", ""))
         after = self.revisions.accept(asked, author)
@@ -92,13 +92,13 @@
         return json_response(wire.ChangeAnswer(after.revision, in_force, not_yet))
 
     def check(self, environ: Environ, holder: OperatorHolder) -> Response:
-        """Check a change without keeping it."""
+        """Validate a change without storing it."""
         asked = _decode(environ, Change)
         author = Author(holder.name, holder.subtree, environ.get("REMOTE_ADDR", ""))
         return json_response(wire.CheckAnswer(self.revisions.check(asked, author).revision))
 
     def audit(self, environ: Environ, holder: OperatorHolder) -> Response:
-        """Show the newest changes that lie wholly in the operator's subtree."""
+        """Return the newest changes, without those that reach outside the operator's subtree."""
         count = _query(environ, "count") or str(DEFAULT_AUDIT_ROWS)
         if not count.isdigit():
             raise InvalidRequest("count must be a number", step="read", peer="operator")
@@ -106,7 +106,7 @@
         return json_response([_entry(row) for row in rows if _visible(row, holder.subtree)])
 
     def explain(self, environ: Environ, holder: OperatorHolder) -> Response:
-        """Tell which level a value comes from."""
+        """Return a setting of a group and the level of the tree that defines it."""
         group = GroupPath(_query(environ, "group"))
         field = _query(environ, "field")
         _check_inside(holder, group)
@@ -114,7 +114,7 @@
         return json_response(wire.ExplainAnswer(group, field, found.value, found.level))
 
     def status(self, _: Environ, __: OperatorHolder) -> Response:
-        """Show how this daemon stands."""
+        """Return the state of this daemon and of the other daemons that it knows."""
         at = now()
         members = [
             wire.MemberStatus(m.id, m.live(at), m.revision, m.draining)
@@ -137,7 +137,7 @@
         )
 
     def backends(self, _: Environ, __: OperatorHolder) -> Response:
-        """Show the backend servers as this daemon sees them."""
+        """Return the state of the backend servers as this daemon sees them."""
         at = now()
         rows = []
         for state in self.router.backends.states.values():
@@ -160,7 +160,7 @@
         return json_response(rows)
 
     def groups(self, _: Environ, holder: OperatorHolder) -> Response:
-        """Show the recent service of the groups that the operator steers."""
+        """Return shares and recent throughput of the groups in the operator's subtree."""
         at = now()
         tree = self.router.tree
         rows = [
@@ -177,7 +177,10 @@
         return json_response(rows)
 
     def _wait_in_force(self, revision: Revision) -> tuple[list[MemberId], list[MemberId]]:
-        """Wait until every daemon of the host list has told that it has a revision."""
+        """Wait until every daemon of the host list has confirmed a revision, but not beyond the time limit.
+
+        :return: the daemons that have confirmed it, and those that have not.
+        """
         until = now() + IN_FORCE_WAIT
         while True:
             in_force = [m.id for m in self.membership.live() if m.revision >= revision]
--- a/bayglade/operators/changes.py
+++ b/bayglade/operators/changes.py
@@ -1,4 +1,4 @@
-"""The commands of operators that show, check and change the settings."""
+"""Commands that show, validate and change the settings."""
 
 import secrets
 from pathlib import Path
@@ -19,14 +19,14 @@
 from bayglade.table import create_platform
 
 NOT_YET = 6
-"""Exit code of a change that is kept but not yet in force everywhere."""
+"""Exit code for a change that was stored but is not yet in force on every daemon."""
 
 
 class SettingsShow(RemoteCommand):
-    """Print the settings in force as YAML, with their revision in the first line."""
+    """Print the current settings as YAML, with their revision in the first line."""
 
     name = "settings show"
-    description = "Print the settings in force."
+    description = "Print the current settings."
     help = "  BAYGLADE_KEY=... bayglade settings show > tree.yaml"
 
     def work(self) -> int:
@@ -40,22 +40,22 @@
 
 
 class SettingsCheck(RemoteCommand):
-    """Check a settings file by itself, without asking a daemon."""
+    """Validate a settings file locally, without contacting a daemon."""
 
     name = "settings check"
-    description = "Check a settings file; nothing is sent."
+    description = "Validate a settings file without contacting a daemon."
     help = "  bayglade settings check tree.yaml"
     arguments: ClassVar[list[Argument]] = [argument("file", "A YAML file of the whole tree.")]
 
     def work(self) -> int:
-        """Check the file."""
+        """Validate the file."""
         documents.read(_read_file(self.argument("file")))
         self.line("good")
         return 0
 
 
 class SettingsDiff(RemoteCommand):
-    """Show what applying a settings file would change."""
+    """Show the changes that applying a settings file would make."""
 
     name = "settings diff"
     description = "Show what a settings file would change."
@@ -72,17 +72,17 @@
 
 
 class SettingsApply(RemoteCommand):
-    """Apply a settings file that was made from the revision in force."""
+    """Apply a settings file that was edited from the current revision."""
 
     name = "settings apply"
-    description = "Put a settings file in force."
+    description = "Apply a settings file."
     help = "  bayglade settings apply tree.yaml --note 'more for the gates'"
     arguments: ClassVar[list[Argument]] = [argument("file", "A YAML file from `settings show`.")]
     options: ClassVar[list[Option]] = [
         ADDRESS,
         JSON,
-        option("note", None, "A word for the audit trail.", flag=False, default=""),
-        option("dry-run", None, "Have the daemon check it; keep nothing."),
+        option("note", None, "A comment for the audit trail.", flag=False, default=""),
+        option("dry-run", None, "Have the daemon validate the file without storing it."),
     ]
 
     def work(self) -> int:
@@ -93,7 +93,7 @@
         if written.base is None:
             raise InvalidSettings(f"the first line must be '{documents.REVISION_MARK}N'", step="apply")
         if written.base != found.revision:
-            # The daemon refuses too; asking it gives the list of what changed.
+            # The daemon rejects an outdated base as well, and its error lists what has changed since.
             remote.check(written.base, {}, {})
         if self.option("dry-run"):
             remote.check(written.base, found.document, written.document)
@@ -120,7 +120,7 @@
 
 
 class SettingsInit(RemoteCommand):
-    """Write the very first revision straight to the platform."""
+    """Write the first revision directly to the platform, without a daemon."""
 
     name = "settings init"
     description = "Write the first revision to an empty platform."
@@ -146,18 +146,18 @@
 
 
 class SettingsExplain(RemoteCommand):
-    """Tell which level of the tree a value comes from."""
+    """Show which level of the tree defines a value."""
 
     name = "settings explain"
-    description = "Tell which level a value comes from."
+    description = "Show which level defines a value."
     help = "  bayglade settings explain clinics/gates limits.in_flight"
     arguments: ClassVar[list[Argument]] = [
-        argument("group", "A group, names joined by '/'."),
+        argument("group", "A group, as names joined by '/'."),
         argument("field", "share, priority, deadline_seconds, limits.NAME or versions.MODEL."),
     ]
 
     def work(self) -> int:
-        """Explain a value."""
+        """Show the value and the level that defines it."""
         found = self.remote().explain(self.argument("group"), self.argument("field"))
         level = "the default" if found.level is None else f"level {found.level or 'root'!r}"
         rows = [[found.group, found.field, text_of(found.value), level]]
@@ -165,7 +165,7 @@
 
 
 class SettingsHistory(Audit):
-    """Show the revisions of the settings, the newest first."""
+    """Show the revisions of the settings, newest first."""
 
     name = "settings history"
     description = "Show the newest revisions; the same rows as `audit`."
@@ -192,4 +192,4 @@
 
 
 def _ignore(_: Current) -> None:
-    """Take no notice of a revision: this program only writes it."""
+    """Ignore a new revision: this command only writes it and does not use the settings."""
--- a/bayglade/operators/client.py
+++ b/bayglade/operators/client.py
@@ -1,4 +1,4 @@
-"""Client of the administration API, as the commands use it."""
+"""Client for the administration API; the commands use it."""
 
 import uuid
 from typing import Any, TypeVar
@@ -23,7 +23,7 @@
 
 
 class Remote:
-    """One daemon as an operator's program sees it."""
+    """HTTP client for the administration API of one daemon."""
 
     def __init__(self, address: str, key: str) -> None:
         where = parse_address(address)
@@ -40,19 +40,21 @@
         return f"<Remote {self.address}>"
 
     def settings(self) -> wire.SettingsAnswer:
-        """Fetch the settings in force."""
+        """Fetch the current settings."""
         return self._get(wire.SETTINGS_PATH, wire.SettingsAnswer)
 
     def change(
         self, base: Revision, before: dict[str, Any], after: dict[str, Any], note: str
     ) -> wire.ChangeAnswer:
-        """Ask for a change; sent again with the same id it takes effect once only.
+        """Request a change of the settings.
 
-        :param base: the revision that the change was made against.
+        The change has an id of its own, by which the daemon applies it only once even if it is sent again.
+
+        :param base: the revision that the change is based on.
         :param before: the document at that revision.
-        :param after: the document wanted.
-        :param note: a word for the audit trail.
-        :return: the new revision and where it is in force.
+        :param after: the document with the change.
+        :param note: a comment for the audit trail.
+        :return: the new revision and the daemons that have it in force.
         """
         change = Change(
             id=ChangeId(uuid.uuid4().hex), base=base, patch=patches.diff(before, after), note=note
@@ -60,29 +62,29 @@
         return self._post(wire.CHANGES_PATH, change, wire.ChangeAnswer)
 
     def check(self, base: Revision, before: dict[str, Any], after: dict[str, Any]) -> wire.CheckAnswer:
-        """Ask whether a change would be taken."""
+        """Validate a change without applying it."""
         change = Change(id=ChangeId(""), base=base, patch=patches.diff(before, after))
         return self._post(wire.CHECK_PATH, change, wire.CheckAnswer)
 
     def audit(self, count: int) -> list[wire.AuditEntry]:
-        """Fetch the newest changes."""
+        """Fetch the newest entries of the audit trail."""
         return self._get(f"{wire.AUDIT_PATH}?count={count}", list[wire.AuditEntry])
 
     def explain(self, group: str, field: str) -> wire.ExplainAnswer:
-        """Ask which level a value comes from."""
+        """Fetch a setting of a group and the level that defines it."""
         query = urlencode({"group": group, "field": field})
         return self._get(f"{wire.EXPLAIN_PATH}?{query}", wire.ExplainAnswer)
 
     def status(self) -> wire.StatusAnswer:
-        """Ask how the daemon stands."""
+        """Fetch the state of the daemon."""
         return self._get(wire.STATUS_PATH, wire.StatusAnswer)
 
     def backends(self) -> list[wire.BackendStatus]:
-        """Ask how the daemon sees the backend servers."""
+        """Fetch the state of the backend servers as the daemon sees them."""
         return self._get(wire.BACKENDS_PATH, list[wire.BackendStatus])
 
     def groups(self) -> list[wire.GroupStatus]:
-        """Ask for the recent service of the groups."""
+        """Fetch shares and recent throughput of the groups."""
         return self._get(wire.GROUPS_PATH, list[wire.GroupStatus])
 
     def _get(self, path: str, kind: type[AnswerT]) -> AnswerT:
@@ -108,7 +110,7 @@
     try:
         body = msgspec.json.decode(content, type=ErrorAnswer).error
     except msgspec.DecodeError:
-        return BaygladeError("the answer makes no sense", step=path, peer=peer)
+        return BaygladeError("malformed answer", step=path, peer=peer)
     error = BaygladeError(
         body.message,
         step=body.step,
--- a/bayglade/operators/commands.py
+++ b/bayglade/operators/commands.py
@@ -1,8 +1,8 @@
-"""What the commands of operators share, and those that look at daemons.
+"""Base class of the operators' commands, and the commands that show the state of daemons.
 
-Exit codes: 0 done, 1 failed, 3 another change came first, 4 the settings break
-a rule, 5 no answer or the outcome is unknown, 6 kept but not yet in force
-everywhere.
+Exit codes: 0 success, 1 failure, 3 conflict with another change, 4 invalid
+settings, 5 no answer or unknown outcome, 6 change stored but not yet in force
+on every daemon.
 """
 
 import os
@@ -31,11 +31,11 @@
 }
 
 ADDRESS = option("address", "a", f"A daemon's address (or ${ADDRESS_VARIABLE}).", flag=False)
-JSON = option("json", "j", "Print JSON for programs.")
+JSON = option("json", "j", "Print JSON.")
 
 
 class RemoteCommand(Command):
-    """A command that asks a daemon; errors become exit codes."""
+    """A command that sends requests to a daemon; errors are printed and mapped to exit codes."""
 
     arguments: ClassVar[list[Argument]] = []
     options: ClassVar[list[Option]] = [ADDRESS, JSON]
@@ -50,24 +50,24 @@
             return EXIT_CODES.get(error.code, 1)
 
     def work(self) -> int:
-        """Do the work of the command.
+        """Carry out the command.
 
         :return: the exit code.
-        :raises BaygladeError: when it cannot be done.
+        :raises BaygladeError: if it fails.
         """
         raise NotImplementedError
 
     def remote(self) -> Remote:
-        """Return the daemon to ask."""
+        """Return a client for the daemon that the option or the environment names."""
         address = self.option("address") or os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
         return Remote(address, os.environ.get(KEY_VARIABLE, ""))
 
     def show(self, value: object, headers: Sequence[str], rows: list[list[str]]) -> int:
-        """Print JSON or a table.
+        """Print a result as a table, or as JSON with ``--json``.
 
-        :param value: what ``--json`` prints.
-        :param headers: names of the columns.
-        :param rows: the cells.
+        :param value: the value to print as JSON.
+        :param headers: column names of the table.
+        :param rows: cells of the table, by row.
         :return: exit code 0.
         """
         if self.option("json"):
@@ -81,7 +81,7 @@
 
 
 class Audit(RemoteCommand):
-    """Show the newest accepted changes."""
+    """Show the newest entries of the audit trail."""
 
     name = "audit"
     description = "Show the newest changes: who, when, from where, what."
@@ -110,10 +110,10 @@
 
 
 class Status(RemoteCommand):
-    """Show how a daemon and the others that it hears stand."""
+    """Show the state of a daemon and of the other daemons that it knows."""
 
     name = "status"
-    description = "Show how a daemon stands."
+    description = "Show the state of a daemon."
     help = "  bayglade status --address 10.0.0.7:8080"
 
     def work(self) -> int:
@@ -154,10 +154,10 @@
 
 
 class Groups(RemoteCommand):
-    """Show the recent service of groups."""
+    """Show shares and recent throughput of groups."""
 
     name = "groups"
-    description = "Show groups: share, priority, tokens a second, in flight."
+    description = "Show groups: share, priority, tokens per second, in flight."
     help = "  bayglade groups"
 
     def work(self) -> int:
@@ -177,5 +177,5 @@
 
 
 def text_of(value: object) -> str:
-    """Return a value as a cell of a table."""
+    """Format a value as a table cell."""
     return "-" if value is None else str(value)
--- a/bayglade/operators/documents.py
+++ b/bayglade/operators/documents.py
@@ -1,4 +1,4 @@
-"""Settings as operators write them: YAML files with the revision they were read at."""
+"""Settings files for operators: YAML with the revision that the file was made from."""
 
 import io
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class Written(msgspec.Struct):
-    """A settings file: the document, its tree and the revision it was made from."""
+    """A parsed settings file: its document, the settings tree and the revision it was made from."""
 
     document: dict[str, Any]
     tree: Tree
@@ -26,11 +26,11 @@
 
 
 def write(document: dict[str, Any], revision: Revision) -> str:
-    """Write a document as an operator edits it.
+    """Format settings as YAML for editing.
 
     :param document: the settings.
-    :param revision: the revision they were read at.
-    :return: YAML, the revision in its first line.
+    :param revision: the revision of the settings.
+    :return: YAML with the revision in its first line.
     """
     yaml = YAML(typ="safe", pure=True)
     yaml.default_flow_style = False
@@ -40,13 +40,13 @@
 
 
 def read(text: str, whole: bool = True) -> Written:
-    """Read and check a settings file.
+    """Parse and validate a settings file.
 
-    :param text: YAML.
-    :param whole: check the rules between parts; a part of a tree cannot be
-        checked so, since what it names may lie outside of it.
-    :return: the checked file.
-    :raises InvalidSettings: naming the field, and its line where it is known.
+    :param text: the file's content, as YAML.
+    :param whole: whether the file holds the whole tree, so that references between its parts are
+        checked. In a part of the tree they may refer to something outside of it.
+    :return: the parsed file.
+    :raises InvalidSettings: if the file is invalid; the message names the field, and its line if known.
     """
     loaded = _load(text)
     try:
@@ -54,7 +54,7 @@
         if whole:
             settings.check(tree)
     except (msgspec.ValidationError, InvalidSettings) as error:
-        # The slower loader that keeps line numbers is needed only here.
+        # This loader keeps line numbers but is slower, so it is used only after an error.
         lines = YAML(typ="rt", pure=True).load(text)
         raise InvalidSettings(_with_line(str(error), lines), step="check") from error
     document = msgspec.json.decode(settings.encode(tree))
@@ -63,9 +63,9 @@
 
 def _load(text: str) -> dict[str, Any]:
     if len(text.encode()) > settings.MAX_DOCUMENT_BYTES:
-        raise InvalidSettings(f"above {settings.MAX_DOCUMENT_BYTES} bytes", step="check")
+        raise InvalidSettings(f"the file exceeds {settings.MAX_DOCUMENT_BYTES} bytes", step="check")
     if text.count("*") > MAX_ALIASES and text.count("&"):
-        raise InvalidSettings(f"more than {MAX_ALIASES} aliases", step="check")
+        raise InvalidSettings(f"the file has more than {MAX_ALIASES} aliases", step="check")
     try:
         loaded = YAML(typ="safe", pure=True).load(text)
     except MarkedYAMLError as error:
@@ -74,7 +74,7 @@
     except (YAMLError, RecursionError) as error:
         raise InvalidSettings(str(error), step="check") from error
     if not isinstance(loaded, dict):
-        raise InvalidSettings("the file must hold a mapping", step="check")
+        raise InvalidSettings("the file must contain a mapping", step="check")
     return loaded
 
 
@@ -85,7 +85,7 @@
 
 
 def _with_line(message: str, loaded: CommentedMap) -> str:
-    """Put the line of the field that a message names in front of it."""
+    """Prefix an error message with the line of the field that it names."""
     path = _path_in(message)
     line: int | None = None
     node: object = loaded
@@ -98,6 +98,6 @@
 
 
 def _path_in(message: str) -> list[str]:
-    """Find the field path in a message of msgspec or of the settings' own checks."""
+    """Extract the field path from an error message of msgspec or of the checks in bayglade.settings."""
     path = message.rpartition("`$.")[2].rstrip("`") if "`$." in message else message.partition(":")[0]
     return path.replace("[...]", "").split(".")
--- a/bayglade/operators/wire.py
+++ b/bayglade/operators/wire.py
@@ -1,4 +1,4 @@
-"""Messages between operators' programs and a daemon: JSON over HTTP."""
+"""Messages of the administration API: JSON over HTTP."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 
 
 class SettingsAnswer(msgspec.Struct):
-    """The settings in force, as far as the operator may see them."""
+    """The current settings, limited to what the operator may see."""
 
     revision: Revision
     digest: Digest
@@ -25,7 +25,7 @@
 
 
 class ChangeAnswer(msgspec.Struct):
-    """A change that was kept, and where it is in force by now."""
+    """The revision of a stored change, and the daemons that have it in force already or not yet."""
 
     revision: Revision
     in_force: list[MemberId]
@@ -33,13 +33,13 @@
 
 
 class CheckAnswer(msgspec.Struct):
-    """A change that would be taken."""
+    """Result of a successful check: the revision that the change would create."""
 
     revision: Revision
 
 
 class ExplainAnswer(msgspec.Struct):
-    """A value in force and the level it comes from; no level for a default."""
+    """A setting and the level that defines it; no level if it is the default."""
 
     group: GroupPath
     field: str
@@ -48,7 +48,7 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """Another daemon as seen by the one that answers."""
+    """State of another daemon as seen by the answering one."""
 
     member: MemberId
     live: bool
@@ -57,7 +57,7 @@
 
 
 class StatusAnswer(msgspec.Struct):
-    """How a daemon stands."""
+    """State of a daemon."""
 
     member: MemberId
     version: str
@@ -73,7 +73,7 @@
 
 
 class BackendStatus(msgspec.Struct):
-    """A backend server as seen by the daemon that answers."""
+    """State of a backend server as seen by the answering daemon."""
 
     backend: BackendId
     model: str
@@ -88,7 +88,7 @@
 
 
 class GroupStatus(msgspec.Struct):
-    """A group's recent service over all daemons, as seen by the one that answers."""
+    """Share and recent throughput of a group over all daemons, as far as the answering one knows."""
 
     group: GroupPath
     share: float
@@ -98,7 +98,7 @@
 
 
 class AuditEntry(msgspec.Struct):
-    """One accepted change."""
+    """An accepted change in the audit trail."""
 
     revision: Revision
     change: str
