--- a/bayglade/commands.py
+++ b/bayglade/commands.py
@@ -18,7 +18,7 @@
 from bayglade.beliefs import Beliefs
 from bayglade.exceptions import BaygladeError
 from bayglade.operators import changes, commands
-from bayglade.operators.commands import DEFAULT_ADDRESS, JSON, KEY_VARIABLE
+from bayglade.operators.commands import DEFAULT_ADDRESS, JSON_OPTION, KEY_VARIABLE
 from bayglade.stop_commands import StopsLift, StopsList
 
 
@@ -38,7 +38,7 @@
         option("deadline", "d", "Deadline of a request in seconds.", flag=False, default="10"),
         option("trace", None, "File to write one line per request to.", flag=False),
         option("seed", None, "Random seed of the arrival times.", flag=False, default="1"),
-        JSON,
+        JSON_OPTION,
     ]
 
     def handle(self) -> int:
@@ -146,7 +146,7 @@
     arguments: ClassVar[list[Argument]] = [
         argument("address", "Address of the gateway's metrics listener.")
     ]
-    options: ClassVar[list[Option]] = [JSON]
+    options: ClassVar[list[Option]] = [JSON_OPTION]
 
     def handle(self) -> int:
         """Fetch the gateway's view and print it."""
--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -23,7 +23,7 @@
 from bayglade.leases import Lease
 from bayglade.logs import event
 from bayglade.metrics import create_metrics
-from bayglade.operators.api import Operators
+from bayglade.operators.api import OperatorApi
 from bayglade.placement import LEASE_NAME, Placer
 from bayglade.responses import (
     Environ,
@@ -101,7 +101,9 @@
         self.callers = callers.CallerApi(
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
-        self.operators = Operators(config.member, self.router, self.revisions, self.membership, self.ready)
+        self.operators = OperatorApi(
+            config.member, self.router, self.revisions, self.membership, self.ready
+        )
         self.previous_settings: Current = self.revisions.current
         self.shutdown_requested = Event()
         self.reported_leaving: set[BackendId] = set()
--- a/bayglade/operators/api.py
+++ b/bayglade/operators/api.py
@@ -27,10 +27,10 @@
 DEFAULT_AUDIT_ROWS = 20
 
 BodyT = TypeVar("BodyT")
-Page = Callable[[Environ, OperatorHolder], Response]
+Handler = Callable[[Environ, OperatorHolder], Response]
 
 
-class Operators:
+class OperatorApi:
     """Authenticates operators and answers their requests."""
 
     def __init__(
@@ -47,7 +47,7 @@
         self.membership = membership
         self.ready = ready
         self.directory = Directory(router.tree)
-        self.pages: dict[str, Page] = {
+        self.handlers: dict[str, Handler] = {
             f"GET {wire.SETTINGS_PATH}": self.settings,
             f"POST {wire.CHANGES_PATH}": self.change,
             f"POST {wire.CHECK_PATH}": self.check,
@@ -59,7 +59,7 @@
         }
 
     def __repr__(self) -> str:
-        return f"<Operators {self.directory!r}>"
+        return f"<OperatorApi {self.directory!r}>"
 
     def handle(self, environ: Environ) -> Response:
         """Handle one request of an operator.
@@ -70,10 +70,10 @@
         """
         holder = self.directory.operator(bearer_key(environ))
         path = environ["PATH_INFO"]
-        page = self.pages.get(f"{environ['REQUEST_METHOD']} {path}")
-        if page is not None:
-            return page(environ, holder)
-        if any(name.endswith(" " + path) for name in self.pages):
+        handler = self.handlers.get(f"{environ['REQUEST_METHOD']} {path}")
+        if handler is not None:
+            return handler(environ, holder)
+        if any(name.endswith(" " + path) for name in self.handlers):
             raise MethodNotAllowed("method not supported", step="read", peer="operator")
         raise NotFound(f"no such path: {path!r}", step="read", peer="operator")
 
@@ -85,31 +85,31 @@
 
     def change(self, environ: Environ, holder: OperatorHolder) -> Response:
         """Apply a change, then return which daemons have it in force."""
-        asked = _decode(environ, Change)
+        requested = _decode_body(environ, Change)
         author = Author(holder.name, holder.subtree, environ.get("REMOTE_ADDR", ""))
-        after = self.revisions.accept(asked, author)
+        after = self.revisions.accept(requested, author)
         in_force, not_yet = self._wait_in_force(after.revision)
         return json_response(wire.ChangeAnswer(after.revision, in_force, not_yet))
 
     def check(self, environ: Environ, holder: OperatorHolder) -> Response:
         """Validate a change without storing it."""
-        asked = _decode(environ, Change)
+        requested = _decode_body(environ, Change)
         author = Author(holder.name, holder.subtree, environ.get("REMOTE_ADDR", ""))
-        return json_response(wire.CheckAnswer(self.revisions.check(asked, author).revision))
+        return json_response(wire.CheckAnswer(self.revisions.check(requested, author).revision))
 
     def audit(self, environ: Environ, holder: OperatorHolder) -> Response:
         """Return the newest changes, without those that reach outside the operator's subtree."""
-        count = _query(environ, "count") or str(DEFAULT_AUDIT_ROWS)
+        count = _query_value(environ, "count") or str(DEFAULT_AUDIT_ROWS)
         if not count.isdigit():
             raise InvalidRequest("count must be a number", step="read", peer="operator")
         rows = self.revisions.history(int(count))
-        return json_response([_entry(row) for row in rows if _visible(row, holder.subtree)])
+        return json_response([_audit_entry(row) for row in rows if _visible(row, holder.subtree)])
 
     def explain(self, environ: Environ, holder: OperatorHolder) -> Response:
         """Return a setting of a group and the level of the tree that defines it."""
-        group = GroupPath(_query(environ, "group"))
-        field = _query(environ, "field")
-        _check_inside(holder, group)
+        group = GroupPath(_query_value(environ, "group"))
+        field = _query_value(environ, "field")
+        _require_in_subtree(holder, group)
         found = settings.explain(self.router.tree, group, field)
         return json_response(wire.ExplainAnswer(group, field, found.value, found.level))
 
@@ -142,7 +142,7 @@
         rows = []
         for state in self.router.backends.states.values():
             facts = state.facts
-            words = "leaving" if state.leaving else "live" if state.usable(at) else "ejected"
+            condition = "leaving" if state.leaving else "live" if state.usable(at) else "ejected"
             rows.append(
                 wire.BackendStatus(
                     state.id,
@@ -154,7 +154,7 @@
                     state.in_flight,
                     round(state.limit, 1),
                     state.failures,
-                    words,
+                    condition,
                 )
             )
         return json_response(rows)
@@ -191,7 +191,7 @@
             eventlet.sleep(IN_FORCE_POLL)
 
 
-def _decode(environ: Environ, kind: type[BodyT]) -> BodyT:
+def _decode_body(environ: Environ, kind: type[BodyT]) -> BodyT:
     body = read_body(environ, MAX_CHANGE_BYTES, BODY_TIMEOUT)
     try:
         return msgspec.json.decode(body, type=kind)
@@ -199,12 +199,12 @@
         raise InvalidRequest(str(error), step="read", peer="operator") from error
 
 
-def _query(environ: Environ, name: str) -> str:
+def _query_value(environ: Environ, name: str) -> str:
     query: str = environ.get("QUERY_STRING", "")
     return parse_qs(query).get(name, [""])[0]
 
 
-def _check_inside(holder: OperatorHolder, group: GroupPath) -> None:
+def _require_in_subtree(holder: OperatorHolder, group: GroupPath) -> None:
     if not settings.contains(holder.subtree, group):
         raise Forbidden(f"{group!r} is outside {holder.subtree!r}", step="read", peer="operator")
 
@@ -216,7 +216,7 @@
     return all(path[: len(top)] == top for path in patches.touched(msgspec.json.decode(row.patch)))
 
 
-def _entry(row: AuditRow) -> wire.AuditEntry:
+def _audit_entry(row: AuditRow) -> wire.AuditEntry:
     return wire.AuditEntry(
         revision=row.revision,
         change=row.change,
--- a/bayglade/operators/changes.py
+++ b/bayglade/operators/changes.py
@@ -13,12 +13,12 @@
 from bayglade.exceptions import InvalidSettings
 from bayglade.ids import ChangeId, GroupPath, Revision
 from bayglade.operators import documents
-from bayglade.operators.client import Remote
-from bayglade.operators.commands import ADDRESS, JSON, Audit, RemoteCommand, text_of
+from bayglade.operators.client import AdminClient
+from bayglade.operators.commands import ADDRESS_OPTION, JSON_OPTION, Audit, RemoteCommand, format_cell
 from bayglade.revisions import Author, Change, Current, Revisions
 from bayglade.table import create_platform
 
-NOT_YET = 6
+EXIT_NOT_IN_FORCE = 6
 """Exit code for a change that was stored but is not yet in force on every daemon."""
 
 
@@ -31,7 +31,7 @@
 
     def work(self) -> int:
         """Print the settings."""
-        found = self.remote().settings()
+        found = self.client().settings()
         if self.option("json"):
             self.line(msgspec.json.encode(found).decode())
         else:
@@ -64,9 +64,9 @@
 
     def work(self) -> int:
         """Show the difference."""
-        written = documents.read(_read_file(self.argument("file")), whole=False)
-        found = self.remote().settings()
-        patch = patches.diff(found.document, written.document)
+        parsed = documents.read(_read_file(self.argument("file")), whole=False)
+        found = self.client().settings()
+        patch = patches.diff(found.document, parsed.document)
         rows = _patch_rows(found.document, patch)
         return self.show(patch, ["field", "in force", "in the file"], rows)
 
@@ -79,34 +79,34 @@
     help = "  bayglade settings apply tree.yaml --note 'more for the gates'"
     arguments: ClassVar[list[Argument]] = [argument("file", "A YAML file from `settings show`.")]
     options: ClassVar[list[Option]] = [
-        ADDRESS,
-        JSON,
+        ADDRESS_OPTION,
+        JSON_OPTION,
         option("note", None, "A comment for the audit trail.", flag=False, default=""),
         option("dry-run", None, "Have the daemon validate the file without storing it."),
     ]
 
     def work(self) -> int:
         """Apply the file."""
-        written = documents.read(_read_file(self.argument("file")), whole=False)
-        remote = self.remote()
-        found = remote.settings()
-        if written.base is None:
-            raise InvalidSettings(f"the first line must be '{documents.REVISION_MARK}N'", step="apply")
-        if written.base != found.revision:
+        parsed = documents.read(_read_file(self.argument("file")), whole=False)
+        client = self.client()
+        found = client.settings()
+        if parsed.base is None:
+            raise InvalidSettings(f"the first line must be '{documents.REVISION_PREFIX}N'", step="apply")
+        if parsed.base != found.revision:
             # The daemon rejects an outdated base as well, and its error lists what has changed since.
-            remote.check(written.base, {}, {})
+            client.check(parsed.base, {}, {})
         if self.option("dry-run"):
-            remote.check(written.base, found.document, written.document)
+            client.check(parsed.base, found.document, parsed.document)
             self.line("good")
             return 0
-        return self._apply(remote, found.document, written)
+        return self._apply(client, found.document, parsed)
 
-    def _apply(self, remote: Remote, before: dict[str, Any], written: documents.Written) -> int:
-        assert written.base is not None
-        if not patches.diff(before, written.document):
+    def _apply(self, client: AdminClient, before: dict[str, Any], parsed: documents.SettingsFile) -> int:
+        assert parsed.base is not None
+        if not patches.diff(before, parsed.document):
             self.line("nothing to change")
             return 0
-        answer = remote.change(written.base, before, written.document, self.option("note"))
+        answer = client.change(parsed.base, before, parsed.document, self.option("note"))
         if self.option("json"):
             self.line(msgspec.json.encode(answer).decode())
         else:
@@ -115,7 +115,7 @@
             self.line(f"in force on {len(answer.in_force)} of {count} daemons")
         if answer.not_yet:
             self.line_error(f"not yet on: {', '.join(answer.not_yet)}")
-            return NOT_YET
+            return EXIT_NOT_IN_FORCE
         return 0
 
 
@@ -132,12 +132,12 @@
 
     def work(self) -> int:
         """Write the first revision."""
-        written = documents.read(_read_file(self.argument("file")))
+        parsed = documents.read(_read_file(self.argument("file")))
         revisions = Revisions(create_platform(self.option("platform") or ""), _ignore)
         change = Change(
             id=ChangeId(secrets.token_hex(16)),
             base=Revision(0),
-            patch=written.document,
+            patch=parsed.document,
             note="first revision",
         )
         after = revisions.accept(change, Author("init", GroupPath(""), ""))
@@ -158,9 +158,9 @@
 
     def work(self) -> int:
         """Show the value and the level that defines it."""
-        found = self.remote().explain(self.argument("group"), self.argument("field"))
+        found = self.client().explain(self.argument("group"), self.argument("field"))
         level = "the default" if found.level is None else f"level {found.level or 'root'!r}"
-        rows = [[found.group, found.field, text_of(found.value), level]]
+        rows = [[found.group, found.field, format_cell(found.value), level]]
         return self.show(found, ["group", "field", "value", "from"], rows)
 
 
@@ -187,7 +187,7 @@
         for name in path:
             old = old.get(name) if isinstance(old, dict) else None
             new = new.get(name) if isinstance(new, dict) else None
-        rows.append([".".join(path), text_of(old), text_of(new)])
+        rows.append([".".join(path), format_cell(old), format_cell(new)])
     return rows
 
 
--- a/bayglade/operators/client.py
+++ b/bayglade/operators/client.py
@@ -22,7 +22,7 @@
 AnswerT = TypeVar("AnswerT")
 
 
-class Remote:
+class AdminClient:
     """HTTP client for the administration API of one daemon."""
 
     def __init__(self, address: str, key: str) -> None:
@@ -37,7 +37,7 @@
         )
 
     def __repr__(self) -> str:
-        return f"<Remote {self.address}>"
+        return f"<AdminClient {self.address}>"
 
     def settings(self) -> wire.SettingsAnswer:
         """Fetch the current settings."""
--- a/bayglade/operators/commands.py
+++ b/bayglade/operators/commands.py
@@ -18,7 +18,7 @@
 
 from bayglade import patches
 from bayglade.exceptions import BaygladeError
-from bayglade.operators.client import Remote
+from bayglade.operators.client import AdminClient
 
 KEY_VARIABLE = "BAYGLADE_KEY"
 ADDRESS_VARIABLE = "BAYGLADE_ADDRESS"
@@ -30,15 +30,15 @@
     "platform_answer_lost": 5,
 }
 
-ADDRESS = option("address", "a", f"A daemon's address (or ${ADDRESS_VARIABLE}).", flag=False)
-JSON = option("json", "j", "Print JSON.")
+ADDRESS_OPTION = option("address", "a", f"A daemon's address (or ${ADDRESS_VARIABLE}).", flag=False)
+JSON_OPTION = option("json", "j", "Print JSON.")
 
 
 class RemoteCommand(Command):
     """A command that sends requests to a daemon; errors are printed and mapped to exit codes."""
 
     arguments: ClassVar[list[Argument]] = []
-    options: ClassVar[list[Option]] = [ADDRESS, JSON]
+    options: ClassVar[list[Option]] = [ADDRESS_OPTION, JSON_OPTION]
 
     def handle(self) -> int:
         """Run the command."""
@@ -57,10 +57,10 @@
         """
         raise NotImplementedError
 
-    def remote(self) -> Remote:
+    def client(self) -> AdminClient:
         """Return a client for the daemon that the option or the environment names."""
         address = self.option("address") or os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
-        return Remote(address, os.environ.get(KEY_VARIABLE, ""))
+        return AdminClient(address, os.environ.get(KEY_VARIABLE, ""))
 
     def show(self, value: object, headers: Sequence[str], rows: list[list[str]]) -> int:
         """Print a result as a table, or as JSON with ``--json``.
@@ -87,14 +87,14 @@
     description = "Show the newest changes: who, when, from where, what."
     help = "  bayglade audit --count 50 --json"
     options: ClassVar[list[Option]] = [
-        ADDRESS,
-        JSON,
+        ADDRESS_OPTION,
+        JSON_OPTION,
         option("count", "c", "How many changes.", flag=False, default="20"),
     ]
 
     def work(self) -> int:
         """Show the changes."""
-        entries = self.remote().audit(int(self.option("count")))
+        entries = self.client().audit(int(self.option("count")))
         rows = [
             [
                 str(entry.revision),
@@ -118,7 +118,7 @@
 
     def work(self) -> int:
         """Show the status."""
-        found = self.remote().status()
+        found = self.client().status()
         own = "draining" if found.draining else "ready" if found.ready else "not ready"
         rows = [[found.member, own, str(found.revision), str(found.in_flight), str(found.waiting)]]
         for member in found.members:
@@ -136,7 +136,7 @@
 
     def work(self) -> int:
         """Show the backend servers."""
-        found = self.remote().backends()
+        found = self.client().backends()
         rows = [
             [
                 b.backend,
@@ -162,13 +162,13 @@
 
     def work(self) -> int:
         """Show the groups."""
-        found = self.remote().groups()
+        found = self.client().groups()
         rows = [
             [
                 g.group or "(root)",
-                text_of(g.share),
+                format_cell(g.share),
                 str(g.priority),
-                text_of(g.tokens_per_second),
+                format_cell(g.tokens_per_second),
                 str(g.in_flight),
             ]
             for g in found
@@ -176,6 +176,6 @@
         return self.show(found, ["group", "share", "priority", "tokens/s", "in flight here"], rows)
 
 
-def text_of(value: object) -> str:
+def format_cell(value: object) -> str:
     """Format a value as a table cell."""
     return "-" if value is None else str(value)
--- a/bayglade/operators/documents.py
+++ b/bayglade/operators/documents.py
@@ -13,11 +13,11 @@
 from bayglade.ids import Revision
 from bayglade.settings import Tree
 
-REVISION_MARK = "# revision: "
+REVISION_PREFIX = "# revision: "
 MAX_ALIASES = 100
 
 
-class Written(msgspec.Struct):
+class SettingsFile(msgspec.Struct):
     """A parsed settings file: its document, the settings tree and the revision it was made from."""
 
     document: dict[str, Any]
@@ -36,10 +36,10 @@
     yaml.default_flow_style = False
     stream = io.StringIO()
     yaml.dump(document, stream)
-    return f"{REVISION_MARK}{revision}\n{stream.getvalue()}"
+    return f"{REVISION_PREFIX}{revision}\n{stream.getvalue()}"
 
 
-def read(text: str, whole: bool = True) -> Written:
+def read(text: str, whole: bool = True) -> SettingsFile:
     """Parse and validate a settings file.
 
     :param text: the file's content, as YAML.
@@ -56,9 +56,9 @@
     except (msgspec.ValidationError, InvalidSettings) as error:
         # This loader keeps line numbers but is slower, so it is used only after an error.
         lines = YAML(typ="rt", pure=True).load(text)
-        raise InvalidSettings(_with_line(str(error), lines), step="check") from error
+        raise InvalidSettings(_add_line_number(str(error), lines), step="check") from error
     document = msgspec.json.decode(settings.encode(tree))
-    return Written(document, tree, _base(text))
+    return SettingsFile(document, tree, _base_revision(text))
 
 
 def _load(text: str) -> dict[str, Any]:
@@ -78,15 +78,15 @@
     return loaded
 
 
-def _base(text: str) -> Revision | None:
+def _base_revision(text: str) -> Revision | None:
     first = text.split("\n", 1)[0]
-    number = first.removeprefix(REVISION_MARK)
+    number = first.removeprefix(REVISION_PREFIX)
     return Revision(int(number)) if first != number and number.strip().isdigit() else None
 
 
-def _with_line(message: str, loaded: CommentedMap) -> str:
+def _add_line_number(message: str, loaded: CommentedMap) -> str:
     """Prefix an error message with the line of the field that it names."""
-    path = _path_in(message)
+    path = _field_path(message)
     line: int | None = None
     node: object = loaded
     for name in path:
@@ -97,7 +97,7 @@
     return f"line {line}: {message}" if line is not None else message
 
 
-def _path_in(message: str) -> list[str]:
+def _field_path(message: str) -> list[str]:
     """Extract the field path from an error message of msgspec or of the checks in bayglade.settings."""
     path = message.rpartition("`$.")[2].rstrip("`") if "`$." in message else message.partition(":")[0]
     return path.replace("[...]", "").split(".")
--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -22,7 +22,7 @@
 from bayglade.entries.ring import neighbours
 from bayglade.exceptions import BaygladeError
 from bayglade.ids import GroupPath, MemberId, ModelName
-from bayglade.operators.client import Remote
+from bayglade.operators.client import AdminClient
 from bayglade.routing import choose_route
 from bayglade.usage import Usage
 from benches.common import cpu_seconds, megabytes, print_table, run, start
@@ -97,14 +97,14 @@
 
 def _live(daemon: Process) -> int:
     try:
-        return sum(m.live for m in Remote(daemon.address, OPERATOR_KEY).status().members)
+        return sum(m.live for m in AdminClient(daemon.address, OPERATOR_KEY).status().members)
     except BaygladeError:
         # It has no settings yet, so it knows no operator.
         return 0
 
 
 def _bytes(daemon: Process) -> tuple[int, int]:
-    status = Remote(daemon.address, OPERATOR_KEY).status()
+    status = AdminClient(daemon.address, OPERATOR_KEY).status()
     return status.entries_bytes_out, status.entries_bytes_in
 
 
@@ -140,7 +140,7 @@
     killed = time.monotonic()
 
     def silent() -> bool:
-        members = Remote(other.address, OPERATOR_KEY).status().members
+        members = AdminClient(other.address, OPERATOR_KEY).status().members
         return any(m.member == victim.name and not m.live for m in members)
 
     wait_for("the loss is noticed", silent, 60)
@@ -199,7 +199,7 @@
 
 
 def _least_limit(daemon: Process) -> float:
-    return min(state.limit for state in Remote(daemon.address, OPERATOR_KEY).backends())
+    return min(state.limit for state in AdminClient(daemon.address, OPERATOR_KEY).backends())
 
 
 def _stream_memory(world: World, daemon: Process, count: int) -> list[Any]:
@@ -209,7 +209,7 @@
     arguments = ["load", "-a", daemon.address, "-r", str(count / 2), "-s", "2", "-t", "24", "-d", "60"]
     sender = threading.Thread(target=world.cli, args=arguments, kwargs={"key": CALLER_KEY})
     sender.start()
-    remote = Remote(daemon.address, OPERATOR_KEY)
+    remote = AdminClient(daemon.address, OPERATOR_KEY)
     wait_for("most are open", lambda: remote.status().in_flight >= count * 0.8, 60)
     before = cpu_seconds(daemon)
     time.sleep(3.0)
--- a/standins/world.py
+++ b/standins/world.py
@@ -22,7 +22,7 @@
 
 from bayglade.exceptions import BaygladeError
 from bayglade.operators import documents
-from bayglade.operators.client import Remote
+from bayglade.operators.client import AdminClient
 
 HOST = "127.0.0.1"
 START_TIMEOUT = 60.0
@@ -242,7 +242,7 @@
         :param edit: changes the document in place.
         :return: the daemon's answer.
         """
-        remote = Remote(address, OPERATOR_KEY)
+        remote = AdminClient(address, OPERATOR_KEY)
         found = remote.settings()
         after = msgspec.json.decode(msgspec.json.encode(found.document))
         edit(after)
@@ -256,7 +256,7 @@
 
     def _ready(self, daemon: Process, daemons: tuple[Process, ...]) -> bool:
         try:
-            status = Remote(daemon.address, OPERATOR_KEY).status()
+            status = AdminClient(daemon.address, OPERATOR_KEY).status()
         except BaygladeError:
             return False
         heard = [m for m in status.members if m.live and m.revision == status.revision]
--- a/tests/steps_settings.py
+++ b/tests/steps_settings.py
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, then, when
 
 from bayglade.exceptions import BaygladeError
-from bayglade.operators.client import Remote
+from bayglade.operators.client import AdminClient
 from standins.world import HOST, OPERATOR_KEY, Process, free_port, wait_for
 from tests import callers
 from tests.steps import Scenario
@@ -27,7 +27,7 @@
 ) -> ChangeAttempt:
     """Change the share of a group through a daemon, based on the settings in force there."""
     attempt = ChangeAttempt()
-    remote = Remote(scenario.process(name).address, key)
+    remote = AdminClient(scenario.process(name).address, key)
     try:
         found = remote.settings()
         after = {"root": {"groups": {group: {"share": share}}}}
@@ -39,7 +39,7 @@
 
 
 def shares(scenario: Scenario, daemon: Process) -> tuple[int, dict[str, float]]:
-    found = Remote(daemon.address, OPERATOR_KEY).settings()
+    found = AdminClient(daemon.address, OPERATOR_KEY).settings()
     groups = found.document["root"]["groups"]
     return found.revision, {name: group.get("share", 1.0) for name, group in groups.items()}
 
@@ -54,12 +54,12 @@
 @when(parsers.parse('{count:d} operators change the share of "{group}" at once through {names}'))
 def when_race(scenario: Scenario, count: int, group: str, names: str) -> None:
     daemons = names.split(", ")
-    before = [Remote(scenario.process(name).address, OPERATOR_KEY) for name in daemons]
+    before = [AdminClient(scenario.process(name).address, OPERATOR_KEY) for name in daemons]
     base = before[0].settings().revision
 
     def race(number: int) -> None:
         attempt = ChangeAttempt()
-        remote = Remote(scenario.process(daemons[number % len(daemons)]).address, OPERATOR_KEY)
+        remote = AdminClient(scenario.process(daemons[number % len(daemons)]).address, OPERATOR_KEY)
         after = {"root": {"groups": {group: {"share": 10.0 + number}}}}
         try:
             attempt.answer = remote.change(base, {}, after, str(number))
@@ -196,7 +196,7 @@
 
 @then("the audit trail names each accepted change once")
 def then_audited(scenario: Scenario) -> None:
-    entries = Remote(scenario.daemons[0].address, OPERATOR_KEY).audit(100)
+    entries = AdminClient(scenario.daemons[0].address, OPERATOR_KEY).audit(100)
     accepted = [attempt.answer.revision for attempt in scenario.attempts if attempt.error is None]
     assert [entry.revision for entry in entries if entry.operator == "root"] == accepted[::-1]
     assert len({entry.change for entry in entries}) == len(entries)
