--- a/bayglade/daemon.py
+++ b/bayglade/daemon.py
@@ -23,7 +23,7 @@
 from bayglade.leases import Lease
 from bayglade.logs import event
 from bayglade.metrics import create_metrics
-from bayglade.operators.api import Operators
+from bayglade.operators.api import OperatorApi
 from bayglade.placement import LEASE_NAME, Placer
 from bayglade.responses import (
     Environ,
@@ -98,10 +98,12 @@
             self.rng,
         )
         self.presence = DisconnectWatcher(self.metrics)
-        self.callers = callers.Callers(
+        self.callers = callers.CallerApi(
             self.router, self.presence, config.max_body_bytes, config.body_timeout
         )
-        self.operators = Operators(config.member, self.router, self.revisions, self.membership, self.ready)
+        self.operators = OperatorApi(
+            config.member, self.router, self.revisions, self.membership, self.ready
+        )
         self.previous_settings: Current = self.revisions.current
         self.shutdown_requested = Event()
         self.reported_leaving: set[BackendId] = set()
@@ -210,7 +212,7 @@
         directory = Directory(current.tree)
         self.callers.directory = directory
         self.operators.directory = directory
-        self.engines.forget({backend.address for backend in current.tree.backends.values()})
+        self.engines.close_unlisted({backend.address for backend in current.tree.backends.values()})
         self._update_leaving()
         self.membership.announce_revision(previous, current)
         self.metrics.gauge("settings.revision", current.revision)
--- a/bayglade/engines/client.py
+++ b/bayglade/engines/client.py
@@ -1,4 +1,4 @@
-"""Client of the model engines: streams of frames, cancelling and load."""
+"""Client for the model engines: token streams, cancellation, load reports and orders."""
 
 from collections.abc import Iterator
 from contextlib import suppress
@@ -18,7 +18,7 @@
 
 
 class Engines:
-    """Pooled connections to the engines, by address."""
+    """Sends requests to engines over a connection pool per address."""
 
     def __init__(self) -> None:
         self.pools: dict[str, urllib3.HTTPConnectionPool] = {}
@@ -26,54 +26,56 @@
     def __repr__(self) -> str:
         return f"<Engines {len(self.pools)} pools>"
 
-    def stream(self, order: wire.Generate, gap_timeout: float) -> Iterator[wire.Frame]:
-        """Run one attempt and yield its frames until its end or its error.
+    def stream(self, message: wire.Generate, gap_timeout: float) -> Iterator[wire.Frame]:
+        """Run one attempt and yield its frames.
 
-        A connection is pooled again only after the whole answer was read.
+        The connection returns to its pool only if the whole answer was read.
 
-        :param order: the attempt, sent to its first stage.
-        :param gap_timeout: seconds of silence after which the attempt has failed.
-        :return: frames as they come; strays are not filtered here.
-        :raises BackendUnreachable: when no byte was sent.
-        :raises BackendRefused: when the engine refused before running.
-        :raises BackendError: when the stream broke, fell silent or made no sense.
+        :param message: the attempt, sent to its first stage.
+        :param gap_timeout: seconds without data after which the attempt has failed.
+        :return: the frames as they arrive, including any that belong to other attempts.
+        :raises BackendUnreachable: if no byte was sent.
+        :raises BackendRefused: if the engine refused before running the attempt.
+        :raises BackendError: if the stream broke, timed out or was malformed.
         """
-        head = order.stages[0]
-        response = self._open(head, order, gap_timeout)
+        first_stage = message.stages[0]
+        response = self._open(first_stage, message, gap_timeout)
         end: wire.EndFrame | None = None
         try:
-            for line in self._lines(head, response):
-                frame = self._decode(head, line)
+            for line in self._read_lines(first_stage, response):
+                frame = self._decode_frame(first_stage, line)
                 if isinstance(frame, wire.EndFrame):
                     end = frame
                     continue
                 yield frame
         except BackendError:
-            # What follows the end frame does not matter to the answer.
+            # An error after the end frame does not affect the answer.
             if end is None:
                 raise
         finally:
-            # Closes the connection unless its answer was read to the last byte.
+            # Closes the connection unless the answer was read to the last byte.
             response.close()
         if end is not None:
             yield end
 
     def cancel(self, stage: wire.Stage, message: wire.Cancel) -> bool:
-        """Tell an engine to stop an attempt.
+        """Cancel an attempt on an engine.
 
         :param stage: the engine.
         :param message: the attempt.
-        :return: whether the engine confirmed.
+        :return: whether the engine confirmed the cancellation.
         """
-        return self._ask(stage.address, "POST", wire.CANCEL_PATH, msgspec.json.encode(message)) is not None
+        return (
+            self._request(stage.address, "POST", wire.CANCEL_PATH, msgspec.json.encode(message)) is not None
+        )
 
     def load(self, address: str) -> wire.Load | None:
-        """Ask an engine for its load.
+        """Fetch the load of an engine.
 
-        :param address: the engine.
-        :return: the load; nothing when the engine does not answer in time.
+        :param address: the engine's address.
+        :return: the load, or None if the engine does not answer in time or its answer is malformed.
         """
-        body = self._ask(address, "GET", wire.LOAD_PATH, None)
+        body = self._request(address, "GET", wire.LOAD_PATH, None)
         if body is None:
             return None
         with suppress(msgspec.DecodeError):
@@ -81,36 +83,38 @@
         return None
 
     def order(self, address: str, message: wire.HoldVersion) -> bool:
-        """Order an engine to hold a version.
+        """Order an engine to hold a model version.
 
-        :param address: the engine.
-        :param message: the order, with the epoch it is given under.
-        :return: whether the engine took it; a repeat is harmless.
+        :param address: the engine's address.
+        :param message: the order, with the lease epoch under which it is given.
+        :return: whether the engine accepted the order; sending it again is harmless.
         """
-        return self._ask(address, "POST", wire.ORDER_PATH, msgspec.json.encode(message)) is not None
+        return self._request(address, "POST", wire.ORDER_PATH, msgspec.json.encode(message)) is not None
 
-    def forget(self, addresses: set[str]) -> None:
+    def close_unlisted(self, listed: set[str]) -> None:
         """Close the pools of engines that are no longer listed.
 
-        :param addresses: the engines to keep.
+        :param listed: addresses of the engines to keep.
         """
-        for address in set(self.pools) - addresses:
+        for address in set(self.pools) - listed:
             self.pools.pop(address).close()
 
     def _pool(self, address: str) -> urllib3.HTTPConnectionPool:
         pool = self.pools.get(address)
         if pool is None:
-            where = parse_address(address)
-            pool = urllib3.HTTPConnectionPool(where.host, where.port, maxsize=POOL_SIZE, retries=False)
+            parsed = parse_address(address)
+            pool = urllib3.HTTPConnectionPool(parsed.host, parsed.port, maxsize=POOL_SIZE, retries=False)
             self.pools[address] = pool
         return pool
 
-    def _open(self, head: wire.Stage, order: wire.Generate, gap_timeout: float) -> urllib3.BaseHTTPResponse:
+    def _open(
+        self, first_stage: wire.Stage, message: wire.Generate, gap_timeout: float
+    ) -> urllib3.BaseHTTPResponse:
         try:
-            response = self._pool(head.address).urlopen(
+            response = self._pool(first_stage.address).urlopen(
                 "POST",
                 wire.GENERATE_PATH,
-                body=msgspec.json.encode(order),
+                body=msgspec.json.encode(message),
                 headers={"Content-Type": "application/json"},
                 timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT, read=gap_timeout),
                 retries=False,
@@ -118,40 +122,44 @@
                 preload_content=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
-            raise BackendUnreachable("cannot connect", step="connect", peer=head.backend) from error
+            raise BackendUnreachable("cannot connect", step="connect", peer=first_stage.backend) from error
         except HTTPError as error:
-            raise BackendError("no answer", step="send", peer=head.backend) from error
+            raise BackendError("no answer", step="send", peer=first_stage.backend) from error
         if response.status != 200:
             response.close()
-            self._raise_for_status(head, response.status)
+            self._raise_for_status(first_stage, response.status)
         return response
 
-    def _raise_for_status(self, head: wire.Stage, status: int) -> None:
+    def _raise_for_status(self, first_stage: wire.Stage, status: int) -> None:
         message = f"the engine answered {status}"
         if status in (400, 404, 409, 429, 503):
-            raise BackendRefused(message, step="generate", peer=head.backend)
-        raise BackendError(message, step="generate", peer=head.backend)
+            raise BackendRefused(message, step="generate", peer=first_stage.backend)
+        raise BackendError(message, step="generate", peer=first_stage.backend)
 
-    def _lines(self, head: wire.Stage, response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+    def _read_lines(self, first_stage: wire.Stage, response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
         rest = b""
         try:
             for chunk in response.read_chunked(READ_BYTES):
                 *lines, rest = (rest + chunk).split(b"\n")
                 yield from lines
                 if len(rest) > wire.MAX_FRAME_BYTES:
-                    raise BackendError("a frame is too long", step="stream", peer=head.backend)
+                    raise BackendError(
+                        "a frame exceeds the size limit", step="stream", peer=first_stage.backend
+                    )
         except ReadTimeoutError as error:
-            raise BackendError("the stream fell silent", step="stream", peer=head.backend) from error
+            raise BackendError("the stream timed out", step="stream", peer=first_stage.backend) from error
         except HTTPError as error:
-            raise BackendError("the stream was cut", step="stream", peer=head.backend) from error
+            raise BackendError(
+                "the stream was interrupted", step="stream", peer=first_stage.backend
+            ) from error
 
-    def _decode(self, head: wire.Stage, line: bytes) -> wire.Frame:
+    def _decode_frame(self, first_stage: wire.Stage, line: bytes) -> wire.Frame:
         try:
             return wire.decode_frame(line)
         except msgspec.DecodeError as error:
-            raise BackendError("a frame makes no sense", step="stream", peer=head.backend) from error
+            raise BackendError("malformed frame", step="stream", peer=first_stage.backend) from error
 
-    def _ask(self, address: str, method: str, path: str, body: bytes | None) -> bytes | None:
+    def _request(self, address: str, method: str, path: str, body: bytes | None) -> bytes | None:
         timeout = urllib3.Timeout(connect=PROBE_TIMEOUT, read=PROBE_TIMEOUT)
         try:
             response = self._pool(address).urlopen(
@@ -163,5 +171,5 @@
 
 
 def create_engines() -> Engines:
-    """Build the client of the engines, with no connection yet."""
+    """Create the client; it connects when it is first used."""
     return Engines()
--- a/bayglade/operators/commands.py
+++ b/bayglade/operators/commands.py
@@ -1,8 +1,8 @@
-"""What the commands of operators share, and those that look at daemons.
+"""Base class of the operators' commands, and the commands that show the state of daemons.
 
-Exit codes: 0 done, 1 failed, 3 another change came first, 4 the settings break
-a rule, 5 no answer or the outcome is unknown, 6 kept but not yet in force
-everywhere.
+Exit codes: 0 success, 1 failure, 3 conflict with another change, 4 invalid
+settings, 5 no answer or unknown outcome, 6 change stored but not yet in force
+on every daemon.
 """
 
 import os
@@ -18,7 +18,7 @@
 
 from bayglade import patches
 from bayglade.exceptions import BaygladeError
-from bayglade.operators.client import Remote
+from bayglade.operators.client import AdminClient
 
 KEY_VARIABLE = "BAYGLADE_KEY"
 ADDRESS_VARIABLE = "BAYGLADE_ADDRESS"
@@ -30,15 +30,15 @@
     "platform_answer_lost": 5,
 }
 
-ADDRESS = option("address", "a", f"A daemon's address (or ${ADDRESS_VARIABLE}).", flag=False)
-JSON = option("json", "j", "Print JSON for programs.")
+ADDRESS_OPTION = option("address", "a", f"A daemon's address (or ${ADDRESS_VARIABLE}).", flag=False)
+JSON_OPTION = option("json", "j", "Print JSON.")
 
 
 class RemoteCommand(Command):
-    """A command that asks a daemon; errors become exit codes."""
+    """A command that sends requests to a daemon; errors are printed and mapped to exit codes."""
 
     arguments: ClassVar[list[Argument]] = []
-    options: ClassVar[list[Option]] = [ADDRESS, JSON]
+    options: ClassVar[list[Option]] = [ADDRESS_OPTION, JSON_OPTION]
 
     def handle(self) -> int:
         """Run the command."""
@@ -50,24 +50,24 @@
             return EXIT_CODES.get(error.code, 1)
 
     def work(self) -> int:
-        """Do the work of the command.
+        """Carry out the command.
 
         :return: the exit code.
-        :raises BaygladeError: when it cannot be done.
+        :raises BaygladeError: if it fails.
         """
         raise NotImplementedError
 
-    def remote(self) -> Remote:
-        """Return the daemon to ask."""
+    def client(self) -> AdminClient:
+        """Return a client for the daemon that the option or the environment names."""
         address = self.option("address") or os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
-        return Remote(address, os.environ.get(KEY_VARIABLE, ""))
+        return AdminClient(address, os.environ.get(KEY_VARIABLE, ""))
 
     def show(self, value: object, headers: Sequence[str], rows: list[list[str]]) -> int:
-        """Print JSON or a table.
+        """Print a result as a table, or as JSON with ``--json``.
 
-        :param value: what ``--json`` prints.
-        :param headers: names of the columns.
-        :param rows: the cells.
+        :param value: the value to print as JSON.
+        :param headers: column names of the table.
+        :param rows: cells of the table, by row.
         :return: exit code 0.
         """
         if self.option("json"):
@@ -81,20 +81,20 @@
 
 
 class Audit(RemoteCommand):
-    """Show the newest accepted changes."""
+    """Show the newest entries of the audit trail."""
 
     name = "audit"
     description = "Show the newest changes: who, when, from where, what."
     help = "  bayglade audit --count 50 --json"
     options: ClassVar[list[Option]] = [
-        ADDRESS,
-        JSON,
+        ADDRESS_OPTION,
+        JSON_OPTION,
         option("count", "c", "How many changes.", flag=False, default="20"),
     ]
 
     def work(self) -> int:
         """Show the changes."""
-        entries = self.remote().audit(int(self.option("count")))
+        entries = self.client().audit(int(self.option("count")))
         rows = [
             [
                 str(entry.revision),
@@ -110,15 +110,15 @@
 
 
 class Status(RemoteCommand):
-    """Show how a daemon and the others that it hears stand."""
+    """Show the state of a daemon and of the other daemons that it knows."""
 
     name = "status"
-    description = "Show how a daemon stands."
+    description = "Show the state of a daemon."
     help = "  bayglade status --address 10.0.0.7:8080"
 
     def work(self) -> int:
         """Show the status."""
-        found = self.remote().status()
+        found = self.client().status()
         own = "draining" if found.draining else "ready" if found.ready else "not ready"
         rows = [[found.member, own, str(found.revision), str(found.in_flight), str(found.waiting)]]
         for member in found.members:
@@ -136,7 +136,7 @@
 
     def work(self) -> int:
         """Show the backend servers."""
-        found = self.remote().backends()
+        found = self.client().backends()
         rows = [
             [
                 b.backend,
@@ -154,21 +154,21 @@
 
 
 class Groups(RemoteCommand):
-    """Show the recent service of groups."""
+    """Show shares and recent throughput of groups."""
 
     name = "groups"
-    description = "Show groups: share, priority, tokens a second, in flight."
+    description = "Show groups: share, priority, tokens per second, in flight."
     help = "  bayglade groups"
 
     def work(self) -> int:
         """Show the groups."""
-        found = self.remote().groups()
+        found = self.client().groups()
         rows = [
             [
                 g.group or "(root)",
-                text_of(g.share),
+                format_cell(g.share),
                 str(g.priority),
-                text_of(g.tokens_per_second),
+                format_cell(g.tokens_per_second),
                 str(g.in_flight),
             ]
             for g in found
@@ -176,6 +176,6 @@
         return self.show(found, ["group", "share", "priority", "tokens/s", "in flight here"], rows)
 
 
-def text_of(value: object) -> str:
-    """Return a value as a cell of a table."""
+def format_cell(value: object) -> str:
+    """Format a value as a table cell."""
     return "-" if value is None else str(value)
