--- a/tests/test_taken_keys.py
+++ b/tests/test_taken_keys.py
@@ -28,7 +28,7 @@
 
 def configure(made: Intake, version: int, *keys: str) -> None:
     document = packed(configuration(version, keys, {}))
-    made.take(*decode_document(document), bytes(document))
+    made.apply(*decode_document(document), bytes(document))
 
 
 def test_a_key_that_was_taken_away_meanwhile_is_refused_before_the_sending() -> None:
