--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -15,7 +15,7 @@
 from soak.checks import check, stale_beliefs
 from soak.crashing_requests import (
     CRASHING_BODY,
-    CrashingRequestSender,
+    RequestSender,
     contact_predicate,
     excess_crashes,
     trace_crashes,
@@ -96,7 +96,7 @@
         )
         wait_for("all requests are served", lambda: _all_served(pool, site), RECOVER_SECONDS)
         pool.start(callers)
-        sender = CrashingRequestSender(site.choose_daemon, lambda: site.keys[-1], deadly or "")
+        sender = RequestSender(site.choose_daemon, lambda: site.keys[-1], deadly or "")
         if deadly is not None:
             site.deadly = {CRASHING_BODY}
             sender.start()
@@ -108,7 +108,7 @@
         if deadly is not None:
             sender.stop()
             in_touch = contact_predicate(journal, sender.daemon_of, site.store.server.address)
-            journal.violations += excess_crashes(site.ends, in_touch)
+            journal.violations += excess_crashes(site.crashes, in_touch)
         journal.violations += _check_recovery(pool, site)
         broken = check(journal, site)
         if broken:
@@ -119,7 +119,7 @@
         requests=len(journal.records),
         statuses=dict(Counter(str(r.status or r.error) for r in journal.records)),
         faults=dict(Counter(fault.name for fault in journal.faults)),
-        ends=len(site.ends),
+        ends=len(site.crashes),
         rests=sum(len(replica.rests) for replica in site.every_replica),
         limits=sum(len(replica.limits_named) for replica in site.every_replica),
     )
--- a/soak/crashing_requests.py
+++ b/soak/crashing_requests.py
@@ -11,11 +11,11 @@
 from soak.records import Journal
 from soak.site import SoakSite
 from standins.users import HOST_NAME, Daemon
-from standins.users.site import Ending
+from standins.users.site import ServerCrash
 
 CRASHING_BODY = b"the question that ends servers"
 PAUSE_SECONDS = 0.7
-"""Pause between two requests; a crashed server is back after 0.5 s."""
+"""Between two requests; a server that crashed is back after half a second."""
 REQUEST_PREFIX = "deadly-"
 LOGGED_EVENTS = (
     "request stopped",
@@ -34,24 +34,24 @@
 """Crashes allowed after all daemons in contact must know of the third one."""
 
 
-class CrashingRequestSender:
+class RequestSender:
     """A caller that sends the crashing request, with the newest key, to daemons that a balancer picks."""
 
     def __init__(self, choose: ChooseDaemon, key: Callable[[], str], path: str) -> None:
         self.choose = choose
         self.key = key
-        """Returns the newest key; all keys of the soak test belong to one account."""
+        """Returns the newest key; all keys of the soak are of one account."""
 
         self.path = path
         self.numbers = itertools.count(1)
         self.daemon_of: dict[str, str] = {}
-        """The daemon that each request was sent to, by request; name and incarnation."""
+        """The daemon that each request was sent to, by name and incarnation."""
 
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     def __repr__(self) -> str:
-        return f"<CrashingRequestSender {self.path}>"
+        return f"<RequestSender {self.path}>"
 
     def start(self) -> None:
         """Send requests until stopped."""
@@ -93,7 +93,7 @@
     :return: a line for each crash, for each sending of the request and for each related log event.
     """
     events = [event for daemon in site.daemons for event in _log_events(daemon)]
-    ends = [(end.at, f"{end.server} crashed while running {end.request}") for end in site.ends]
+    ends = [(end.at, f"{end.server} crashed while running {end.request}") for end in site.crashes]
     for at, text in sorted(ends + events):
         yield f"{at:.3f} {text}"
 
@@ -109,7 +109,7 @@
 
 
 def excess_crashes(
-    ends: Iterable[Ending], in_touch: Callable[[Ending], bool] = lambda end: True
+    ends: Iterable[ServerCrash], in_touch: Callable[[ServerCrash], bool] = lambda end: True
 ) -> Iterator[str]:
     """Check that daemons stopped sending the crashing request after enough crashes.
 
@@ -126,7 +126,9 @@
         yield f"deadly: {len(known)} servers crashed, {len(late)} of them late"
 
 
-def contact_predicate(journal: Journal, daemon_of: dict[str, str], store: str) -> Callable[[Ending], bool]:
+def contact_predicate(
+    journal: Journal, daemon_of: dict[str, str], store: str
+) -> Callable[[ServerCrash], bool]:
     """Return a predicate: whether the daemon that caused a crash could know of earlier crashes.
 
     It could not if, shortly before, the daemon was stopped, killed or suspended, or the store or the link
@@ -138,7 +140,7 @@
     :param store: address of the store.
     """
 
-    def in_touch(end: Ending) -> bool:
+    def in_touch(end: ServerCrash) -> bool:
         hit = (daemon_of.get(end.request, "").partition(".")[0], "store", store)
         since = end.at - UNDISTURBED_SECONDS
         return not any(f.target in hit and f.at < end.at and f.until > since for f in journal.faults)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -221,7 +221,7 @@
             site.restore_store(site.store.version_before(copied), away)
         time.sleep(again)
         with injector.lock:
-            site.write_again()
+            site.rewrite_lost_rows()
 
     injector.start_fault("restore", "store", away + again + 1.0, work)
 
--- a/standins/users/__init__.py
+++ b/standins/users/__init__.py
@@ -1,8 +1,8 @@
-"""A stand-in for the users' platform: metadata store, backend servers, and what runs between them.
+"""Stand-in for the users' platform: the metadata store, the backend servers and the daemons under test.
 
-All of it lives in threads of one process. Faults are set from outside, on the
-store or on single servers; every run of a request on a server is recorded, so
-that a test can count them.
+The store and the servers run in threads of one process, each daemon in a process
+of its own. Tests set faults on the store or on single servers. Servers record
+every run of a request, so that tests can count them.
 """
 
 from standins.users.configuration import EVENTS, GROUP, HOST_NAME, KEY, MODEL, PLAIN, configuration
--- a/standins/users/configuration.py
+++ b/standins/users/configuration.py
@@ -1,4 +1,4 @@
-"""What the stand-in's operator writes."""
+"""The configuration that the operator of the stand-in writes to the store."""
 
 from typing import Any
 
@@ -12,7 +12,12 @@
 
 
 def configuration(version: int, keys: tuple[str, ...], changes: dict[str, Any]) -> dict[str, Any]:
-    """Make a configuration: a stream, a repeatable and a not repeatable route, and a public one."""
+    """Make a configuration with a streamed, a repeatable, a non-repeatable and a public route.
+
+    :param version: its version.
+    :param keys: the API keys of its only tenant.
+    :param changes: entries to change in every route.
+    """
     common = {
         "host": HOST_NAME,
         "timeoutMs": 1500,
--- a/standins/users/daemon.py
+++ b/standins/users/daemon.py
@@ -1,4 +1,4 @@
-"""A daemon under test, and how tests speak to it."""
+"""A daemon under test, and helpers to query it."""
 
 import os
 import signal
@@ -19,7 +19,14 @@
 
 
 class Daemon:
-    """A daemon under test, as a process of its own."""
+    """A daemon under test, running as a process of its own.
+
+    :param site: the site whose store it uses.
+    :param name: its member id.
+    :param hall: the data hall it runs in.
+    :param settings: fields of the settings file that differ from the defaults.
+    :param file: stem of its settings and log files, if not the name.
+    """
 
     def __init__(
         self, site: "UsersSite", name: str, hall: str, settings: dict[str, Any], file: str = ""
@@ -50,7 +57,7 @@
         )
 
     def write(self) -> None:
-        """Write the settings file anew."""
+        """Rewrite the settings file."""
         self.file.write_text(msgspec.json.encode(self.settings).decode(), encoding="utf-8")
 
     def signal(self, number: signal.Signals) -> None:
@@ -58,9 +65,9 @@
         self.popen.send_signal(number)
 
     def lines(self, event: str) -> list[dict[str, Any]]:
-        """Return the log lines of one kind of event."""
+        """Return the log entries of an event."""
         found = []
-        # What follows the last end of a line is still being written.
+        # The text after the last newline is a line that is still being written.
         for line in self.log.read_bytes().split(b"\n")[:-1]:
             if line.startswith(b"{"):
                 entry = msgspec.json.decode(line)
@@ -69,37 +76,37 @@
         return found
 
     def beliefs(self) -> Any:
-        """Return what it takes for true."""
+        """Return the daemon's current view of settings, servers and peers."""
         answer = exchange(self.metrics, b"GET /beliefs HTTP/1.1\r\nHost: x\r\n\r\n")
         return msgspec.json.decode(answer.partition(b"\r\n\r\n")[2])
 
     def knows_stages(self) -> bool:
-        """Tell whether it knows what all stages hold."""
+        """Return whether the daemon knows the layers that each model server holds."""
         return all(server["last"] > 0 for server in self.beliefs()["servers"] if server["service"] == MODEL)
 
     def is_ready(self) -> bool:
-        """Ask whether it is ready, as the balancer does."""
+        """Return whether the readiness check, which the load balancer uses, succeeds."""
         return exchange(self.ready, b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n").startswith(
             b"HTTP/1.1 200"
         )
 
     def wait_ready(self) -> None:
-        """Wait until it is ready."""
+        """Wait until the daemon is ready."""
         wait_for("the daemon is ready", lambda: quietly(self.is_ready))
 
     def stop(self) -> None:
-        """Kill it."""
+        """Kill the daemon."""
         self.popen.kill()
         self.popen.wait(STOP_TIMEOUT)
 
 
 def exchange(address: str, data: bytes, seconds: float = 5.0) -> bytes:
-    """Send bytes on a new connection and read until it ends or an answer with a length is whole."""
+    """Send bytes on a new connection; read until it closes or one HTTP answer is complete."""
     host, _, port = address.rpartition(":")
     answer = b""
     with socket.create_connection((host, int(port)), timeout=seconds) as sock:
         sock.sendall(data)
-        while not _whole(answer):
+        while not _is_complete(answer):
             piece = sock.recv(65536)
             if not piece:
                 break
@@ -108,14 +115,14 @@
 
 
 def quietly(check: Callable[[], bool]) -> bool:
-    """Return what a check returns; false while nobody listens."""
+    """Return the result of a check, or false if it fails with a connection error."""
     try:
         return check()
     except OSError:
         return False
 
 
-def _whole(answer: bytes) -> bool:
+def _is_complete(answer: bytes) -> bool:
     head, end, body = answer.partition(b"\r\n\r\n")
     if not end:
         return False
--- a/standins/users/limits.py
+++ b/standins/users/limits.py
@@ -1,4 +1,4 @@
-"""What a server that names a limit may get: the promise, checked from what servers saw."""
+"""Check that servers get no more requests than the rate limit they announce, from their own records."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
@@ -8,16 +8,16 @@
 from standins.users.replica import LimitChange, Replica
 
 WINDOW_SECONDS = 4.0
-FACTOR = 1.5
-EXTRA = 5
-"""Requests that may come beside one and a half times the limit."""
+WINDOW_FACTOR = 1.5
+EXTRA_REQUESTS = 5
+"""Requests allowed in a window in addition to one and a half times the limit."""
 
-TOLD_SECONDS = 0.5
-"""How long after an answer its daemon is taken to know of the limit."""
+NOTICE_SECONDS = 0.5
+"""Time after an answer from which its daemon must respect the limit in it."""
 
 
 class Excess(NamedTuple):
-    """A window in which a server got more than it may."""
+    """A window in which a server got more requests than allowed."""
 
     until: float
     got: int
@@ -25,11 +25,11 @@
 
 
 def allowed(rate: float) -> float:
-    """Return how many requests may come in a window.
+    """Return how many requests a server may get in a window.
 
     :param rate: the limit, in requests a second.
     """
-    return FACTOR * WINDOW_SECONDS * rate + EXTRA
+    return WINDOW_FACTOR * WINDOW_SECONDS * rate + EXTRA_REQUESTS
 
 
 def excesses(
@@ -38,42 +38,42 @@
     excused: Callable[[str, float], bool] = lambda daemon, at: False,
     passed_on: Mapping[str, float] | None = None,
 ) -> list[Excess]:
-    """List the windows in which a server got more than the limit that held through them.
+    """List the windows in which a server got more requests than the limit in force allows.
 
-    Only daemons count that had passed on an answer with the limit, by which all are bound together.
+    Only requests of daemons that have passed on an answer with the limit count, all of them together.
 
     :param server: the server.
-    :param daemon_of: the daemon that was asked, by request.
-    :param excused: tells whether faults kept a daemon from keeping limits at a time.
-    :param passed_on: when the answer to each request was passed on; when it was given, when left out.
+    :param daemon_of: the daemon that handled each request.
+    :param excused: whether faults kept a daemon from respecting limits at a time.
+    :param passed_on: when the answer to each request reached its caller; by default, when it was sent.
     """
     found: list[Excess] = []
-    for held in _held(server):
-        told: dict[str, float] = {}
+    for span in _limit_spans(server):
+        bound_from: dict[str, float] = {}
         for named in server.limits_named:
             at = named.at if passed_on is None else passed_on.get(named.request, math.inf)
-            if held.since <= named.at < held.until and (daemon := daemon_of.get(named.request)):
-                told[daemon] = min(told.get(daemon, math.inf), at + TOLD_SECONDS)
+            if span.since <= named.at < span.until and (daemon := daemon_of.get(named.request)):
+                bound_from[daemon] = min(bound_from.get(daemon, math.inf), at + NOTICE_SECONDS)
         counted = [
             at
             for request, at in server.arrived
-            if told.get(daemon_of.get(request, ""), math.inf) <= at < held.until
+            if bound_from.get(daemon_of.get(request, ""), math.inf) <= at < span.until
             and not excused(daemon_of[request], at)
         ]
-        found += _windows(counted, held.rate)
+        found += _windows(counted, span.rate)
     return found
 
 
-class _Held(NamedTuple):
-    """A span in which one start of a server named one limit."""
+class _LimitSpan(NamedTuple):
+    """A span in which one incarnation of a server announced one limit."""
 
     since: float
     until: float
     rate: float
 
 
-def _held(server: Replica) -> list[_Held]:
-    """List the spans in which a server named limits; each counts by itself."""
+def _limit_spans(server: Replica) -> list[_LimitSpan]:
+    """List the spans in which a server announced a limit; each is checked separately."""
     changes = [*server.limit_changes, LimitChange(math.inf, "")]
     spans = []
     for change, following in pairwise(changes):
@@ -81,7 +81,7 @@
             continue
         starts = [at for at in server.started if change.at < at < following.at]
         for since, until in pairwise([change.at, *starts, following.at]):
-            spans.append(_Held(since, until, rate))
+            spans.append(_LimitSpan(since, until, rate))
     return spans
 
 
@@ -89,7 +89,7 @@
     try:
         return float(value or 0.0)
     except ValueError:
-        # Nonsense names no limit.
+        # A value that is no number announces no limit.
         return 0.0
 
 
--- a/standins/users/replica.py
+++ b/standins/users/replica.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' backend servers."""
+"""Stand-in for the users' backend servers."""
 
 import threading
 import time
@@ -16,7 +16,7 @@
 
 
 class RestAsked(NamedTuple):
-    """A request that was turned away with a wish for rest."""
+    """A request that was refused with ``Retry-After``."""
 
     request: str
     at: float
@@ -26,14 +26,14 @@
 
 
 class LimitChange(NamedTuple):
-    """A moment from which answers name a limit, or none when empty."""
+    """From a time on, answers announce this rate limit, or none if it is empty."""
 
     at: float
     value: str
 
 
 class LimitNamed(NamedTuple):
-    """An answer that named a limit."""
+    """An answer that announced a rate limit."""
 
     request: str
     at: float
@@ -41,15 +41,15 @@
 
     rate: float
     born: int
-    """The start of the server that named it."""
+    """The incarnation of the server that announced it."""
 
 
 class Replica:
-    """A backend server: of the model when it has a kind, else of the plain service.
+    """A backend server: of the model if it has an accelerator kind, else of the plain service.
 
-    Faults of answers: refuse, elsewhere, error, cut, reset, unframed, unframed_reset,
-    stray, extra, garbage, unsealed, mute. Of streams also: stall (as a stage) and
-    partial (ends inside an event).
+    Faults of plain answers: refuse, elsewhere (answers as another instance), error, cut, reset,
+    unframed, unframed_reset, stray, extra, garbage, unsealed, mute. Faults of streams: refuse,
+    elsewhere, reset, stall (as a stage) and partial (resets the connection inside an event).
     """
 
     def __init__(self, site: "UsersSite", name: str, hall: str, kind: str | None) -> None:
@@ -58,13 +58,13 @@
         self.hall = hall
         self.kind = kind
         self.held = (0, 0)
-        self.given_up: list[tuple[tuple[int, int], float]] = []
-        """Layers that it held before, with when they were given up; what passes then goes on there."""
+        self.released_layers: list[tuple[tuple[int, int], float]] = []
+        """Layers held before, with the time of their release; earlier requests still run there."""
 
         self.orders = 0
         self.state = "ready"
         self.born = int(time.time() * 1000)
-        """Unix millisecond of its start."""
+        """Start time in Unix milliseconds, which identifies the incarnation."""
 
         self.writes = 0
         self.faults = Faults()
@@ -76,54 +76,54 @@
 
         self.paths: dict[str, list[tuple[str, int, int]]] = {}
         self.path_since: dict[str, float] = {}
-        """When each request came to its path, in monotonic seconds."""
+        """When each request got its current path, in monotonic seconds."""
 
         self.ran_at: list[tuple[str, float]] = []
-        """Requests that ran, with the monotonic time at which they began."""
+        """Requests that ran, with the monotonic times of their starts."""
 
         self.rest = ""
-        """What it asks for when it turns a request away; nothing when empty."""
+        """Value of ``Retry-After`` in refusals; no header if empty."""
 
         self.limit_changes: list[LimitChange] = []
         self.started: list[float] = []
-        """When it started again, in monotonic seconds."""
+        """Times of its restarts, in monotonic seconds."""
 
         self.limits_named: list[LimitNamed] = []
-        """The limits that answers to requests named."""
+        """The rate limits that its answers announced."""
 
         self.says_leaving = False
-        """Whether its answers say that it leaves; its row may say otherwise."""
+        """Whether its answers announce that it leaves; its row may say otherwise."""
 
         self.arrived: list[tuple[str, float]] = []
-        """Requests that arrived, run or not, with the monotonic time."""
+        """All requests that arrived, run or not, with monotonic times."""
 
         self.tried_paths: dict[str, str] = {}
-        """The path with which each request arrived, run or not."""
+        """The path that each request arrived with, run or not."""
 
-        self.turned_away: list[tuple[str, float]] = []
-        """Requests that it turned away itself, with the monotonic time of its answer."""
+        self.refused: list[tuple[str, float]] = []
+        """Requests that it refused with 503, with the monotonic times of the answers."""
 
         self.rests: list[RestAsked] = []
-        """The rests that it asked for."""
+        """Its refusals with ``Retry-After``."""
 
         self.said_leaving: list[tuple[str, float]] = []
-        """Requests whose answers said that it leaves, with the monotonic time."""
+        """Requests whose answers announced that it leaves, with monotonic times."""
 
         self.resting_stage: Replica | None = None
-        """A later stage on whose behalf it turns requests away that pass that stage."""
+        """A later stage on whose behalf it refuses requests whose path includes that stage."""
 
         self.down = False
-        """Whether it crashed and is not back yet."""
+        """Whether it crashed and has not restarted yet."""
 
         self.server = Server(self)
         self.address = site.front(self.server.address)
-        """Where daemons reach it."""
+        """Address at which daemons reach it."""
 
         self.register()
 
     @property
     def rate_limit(self) -> str:
-        """Return the requests a second that its answers say it takes from all daemons, if any."""
+        """Return the announced limit for all daemons together, in requests a second; empty for none."""
         return self.limit_changes[-1].value if self.limit_changes else ""
 
     @rate_limit.setter
@@ -132,16 +132,16 @@
 
     @property
     def listens_at(self) -> str:
-        """Return its own address, which daemons may reach over something that stands before it."""
+        """Return the address it listens on; daemons may reach it through a proxy at another address."""
         return self.server.address
 
     def register(self) -> None:
-        """Write the own row."""
+        """Write its row to the store."""
         self.writes += 1
         self.site.store.put("servers", self.id, self.row())
 
     def row(self) -> dict[str, Any]:
-        """Return what its own row says."""
+        """Return the content of its row."""
         row: dict[str, Any] = {
             "service": MODEL if self.kind else PLAIN,
             "addr": self.address,
@@ -158,19 +158,19 @@
         return row
 
     def leave(self) -> None:
-        """Say that it leaves."""
+        """Announce in its row that it leaves."""
         self.state = "draining"
         self.register()
 
     def restart(self, told: bool = True) -> None:
-        """End at once and start again under the same id: empty, and with counts from the start.
+        """Terminate at once and restart under the same id, with no layers and all counters at zero.
 
-        :param told: whether its row says so at once.
+        :param told: whether to write the new row at once.
         """
         self.server.end()
         self.born = max(self.born + 1, int(time.time() * 1000))
         self.started.append(time.monotonic())
-        self.held, self.given_up, self.orders, self.writes = (0, 0), [], 0, 0
+        self.held, self.released_layers, self.orders, self.writes = (0, 0), [], 0, 0
         self.state = "ready"
         self.server = Server(self)
         self.address = self.site.front(self.server.address)
@@ -178,7 +178,7 @@
             self.register()
 
     def crash(self, seconds: float) -> None:
-        """End at once, and start again under the same id after some seconds.
+        """Terminate at once, and restart under the same id after some seconds.
 
         :param seconds: for how long its address refuses connections.
         """
@@ -187,9 +187,9 @@
         self.down = True
         self.faults.set("stall")
         self.server.end()
-        threading.Timer(seconds, self._come_back).start()
+        threading.Timer(seconds, self._restart_after_crash).start()
 
-    def _come_back(self) -> None:
+    def _restart_after_crash(self) -> None:
         if self.site.stopped:
             return
         self.faults.left["stall"] = 0
@@ -197,7 +197,7 @@
         self.down = False
 
     def die(self) -> None:
-        """End at once: the address refuses connections."""
+        """Terminate at once and for good; the address refuses connections."""
         self.faults.set("stall")
         self.server.end()
 
@@ -215,8 +215,8 @@
             self._request(handler, body)
 
     def runs_layers(self, first: int, last: int, since: float) -> bool:
-        """Tell whether it runs layers for a request that began at a time."""
-        spans = [self.held, *(span for span, until in self.given_up if until > since)]
+        """Return whether it runs a range of layers for a request that got its path at a given time."""
+        spans = [self.held, *(span for span, until in self.released_layers if until > since)]
         return any(span[0] <= first < last <= span[1] for span in spans)
 
     def _layers(self) -> dict[str, int]:
@@ -235,15 +235,15 @@
         if order["op"] == "repath":
             known = order["id"] in self.paths
             if known:
-                self._take_path(order["id"], order["path"])
-                self.site.moved(order["id"], self, order["path"])
+                self._set_path(order["id"], order["path"])
+                self.site.crash_rerouted(order["id"], self, order["path"])
             handler.json({}, 200 if known else 404)
             return
         if order["expectedRev"] != self.orders:
             handler.json({}, 409)
             return
         self.orders += 1
-        self.given_up.append((self.held, time.monotonic()))
+        self.released_layers.append((self.held, time.monotonic()))
         self.held = (order["from"], order["targetVersion"])
         handler.json({}, 202)
         self.register()
@@ -255,17 +255,17 @@
         if self.says_leaving:
             self.said_leaving.append((request, time.monotonic()))
         if limit := handler.extra.get("Server-Limit"):
-            self._name_limit(request, limit)
+            self._record_limit(request, limit)
         self.tried_paths[request] = handler.headers.get("Path", "")
         if self.faults.take("elsewhere") or expected != self.id:
             handler.answer(421, b"", {"X-Request-Id": request, "X-Instance-Id": "i-other"})
             return
         if self.faults.take("refuse"):
-            self._turn_away(handler, request, {})
+            self._refuse(handler, request, {})
             return
         later = self.resting_stage
         if later is not None and later.address in self.tried_paths[request]:
-            self._turn_away(handler, request, {"At-Server": later.address})
+            self._refuse(handler, request, {"At-Server": later.address})
             return
         if self.kind and not self.site.holds(read_path(handler.headers["Path"])):
             handler.answer(421, b"", {"X-Request-Id": request, "X-Not-Executed": "1"})
@@ -276,29 +276,29 @@
         head = {"X-Request-Id": request, "X-Response-Seal": f"seal-of-{self.id}"}
         if body in self.site.deadly:
             self.site.deadly_requests[request] = body
-            self.site.end_under(request, body, self, handler.headers.get("Path"))
+            self.site.crash_under(request, body, self, handler.headers.get("Path"))
         if self.kind:
             self._stream(handler, request, head)
         else:
-            self._whole(handler, request, head)
+            self._plain(handler, request, head)
 
-    def _name_limit(self, request: str, limit: str) -> None:
+    def _record_limit(self, request: str, limit: str) -> None:
         try:
             rate = float(limit)
         except ValueError:
-            # Nonsense that a daemon is to pass over.
+            # A malformed limit, which daemons must ignore.
             return
         self.limits_named.append(LimitNamed(request, time.monotonic(), rate, self.born))
 
-    def _turn_away(self, handler: Handler, request: str, headers: dict[str, str]) -> None:
+    def _refuse(self, handler: Handler, request: str, headers: dict[str, str]) -> None:
         head = {"X-Request-Id": request, "X-Not-Executed": "1", **headers}
         if self.rest:
             head["Retry-After"] = self.rest
             self.rests.append(RestAsked(request, time.monotonic(), float(self.rest)))
-        self.turned_away.append((request, time.monotonic()))
+        self.refused.append((request, time.monotonic()))
         handler.answer(503, b"", head)
 
-    def _whole(self, handler: Handler, request: str, head: dict[str, str]) -> None:
+    def _plain(self, handler: Handler, request: str, head: dict[str, str]) -> None:
         body = f"answer to {request}".encode()
         if self.faults.take("mute"):
             time.sleep(3)
@@ -329,7 +329,7 @@
 
     def _stream(self, handler: Handler, request: str, head: dict[str, str]) -> None:
         after, born = int(handler.headers.get("Last-Event-Id") or 0), self.born
-        self._take_path(request, handler.headers["Path"])
+        self._set_path(request, handler.headers["Path"])
         handler.wfile.write(_head(200, {**head, **handler.extra, "Transfer-Encoding": "chunked"}))
         for number in range(after + 1, EVENTS + 1):
             while self._stalled(request):
@@ -351,19 +351,19 @@
             time.sleep(EVENT_SECONDS)
         handler.wfile.write(b"0\r\n\r\n")
 
-    def _take_path(self, request: str, path: str) -> None:
+    def _set_path(self, request: str, path: str) -> None:
         self.path_since[request] = time.monotonic()
         self.paths[request] = read_path(path)
 
     def _stalled(self, request: str) -> bool:
         by_address = {replica.address: replica for replica in self.site.every_replica}
         stages = [by_address.get(address) for address, _, _ in self.paths[request]]
-        # Nobody is at the address of a stage that started again elsewhere.
+        # A stage that restarted at another address has left its old one.
         return any(replica is None or replica.faults.left["stall"] for replica in stages)
 
 
 def read_path(text: str) -> list[tuple[str, int, int]]:
-    """Read a path as servers do."""
+    """Parse a path header into stages: address, first layer and end of the layers."""
     stages = []
     for part in text.split(","):
         address, _, layers = part.partition("=")
--- a/standins/users/site.py
+++ b/standins/users/site.py
@@ -1,4 +1,4 @@
-"""A site of the users: the store, its backend servers, and the daemons under test."""
+"""A site of the users' platform: the store, the backend servers and the daemons under test."""
 
 import shutil
 import tempfile
@@ -15,23 +15,29 @@
 from standins.users.store import MetadataStore, RowKey
 from standins.world import release_ports, reserved_ports, wait_for
 
-BEGIN_SECONDS = 0.03
-"""Time from when a server begins to run a request that ends it to its end."""
+CRASH_DELAY_SECONDS = 0.03
+"""Time from the start of a request that crashes its server to the crash."""
 
 
-class Ending(NamedTuple):
-    """A server that ended under a request."""
+class ServerCrash(NamedTuple):
+    """The crash of a server while it ran a request."""
 
     body: bytes
     server: str
     born: int
     at: float
     request: str = ""
-    """The request that was sent there, or moved there."""
+    """Id of the request that was sent or rerouted there."""
 
 
 class UsersSite:
-    """A site: the store, its backend servers, and the daemons under test."""
+    """A site: the store, the backend servers and the daemons under test.
+
+    :param halls: number of data halls with model servers.
+    :param stages: number of model servers in each hall.
+    :param plain: number of servers of the plain service, all in the first hall.
+    :param front: puts a proxy in front of an address, and returns the address of the proxy.
+    """
 
     def __init__(
         self,
@@ -43,35 +49,37 @@
         self.ports_before = reserved_ports()
         self.store = MetadataStore()
         self.front = front
-        """Puts something before the address of a server, and returns where it is reached then."""
+        """Returns the address at which daemons reach a server that listens at another."""
 
         self.replicas: list[Replica] = []
         self.leaving: list[Replica] = []
-        """Servers that are on their way out or gone."""
+        """Servers that are leaving or gone."""
 
         self.daemons: list[Daemon] = []
         self.wrong_paths: list[str] = []
+        """Paths that did not run every layer once and in order."""
+
         self.deadly: set[bytes] = set()
-        """Bodies of requests that end each server which begins to run them."""
+        """Bodies of requests that crash each server which starts to run them."""
 
         self.deadly_requests: dict[str, bytes] = {}
-        """Bodies of such requests, by id."""
+        """Bodies of the crashing requests that were sent, by request id."""
 
         self.deadly_stage = 0
-        """Which stage of its path such a request ends."""
+        """Index of the stage that a crashing request crashes."""
 
         self.down_seconds = 0.5
-        """How long a server that ended under a request is away."""
+        """Seconds until a crashed server restarts."""
 
-        self.ends: list[Ending] = []
+        self.crashes: list[ServerCrash] = []
         self.stopped = False
         self.folder = Path(tempfile.mkdtemp(prefix="bayglade-"))
         self.version = 0
         self.configuration: dict[str, Any] = {}
-        """What the operator wrote last."""
+        """The configuration that the operator wrote last."""
 
         self.lost_rows: dict[RowKey, bytes | None] = {}
-        """Rows that a restored store has lost and nobody has written again."""
+        """Rows that the store lost in a restore and nobody has rewritten yet."""
 
         for hall in range(halls):
             for number in range(stages):
@@ -88,11 +96,11 @@
 
     @property
     def every_replica(self) -> list[Replica]:
-        """Return all backend servers there ever were."""
+        """Return all backend servers, including those that have left."""
         return [*self.replicas, *self.leaving]
 
     def add(self, replica: Replica) -> None:
-        """Have a backend server come."""
+        """Add a backend server."""
         self.replicas.append(replica)
 
     def of(self, service: str) -> list[Replica]:
@@ -104,24 +112,24 @@
         return sum(replica.ran[request] for replica in self.every_replica)
 
     def configure(self, keys: tuple[str, ...] = (KEY,), version: int | None = None, **changes: Any) -> None:
-        """Write a configuration as the operator does; ``changes`` go into every route."""
+        """Write a configuration as the operator does; ``changes`` apply to every route."""
         self.version = version if version is not None else self.version + 3
         self.configuration = configuration(self.version, keys, changes)
         self.store.put("op", "config", self.configuration)
 
     def restore_store(self, version: int, away: float = 0.05) -> None:
-        """Have the store be away for a moment and come back as a copy of an earlier version.
+        """Take the store down for a moment and restore it from a copy of an earlier version.
 
         :param version: the newest version in the copy.
-        :param away: for how long it resets all calls, in seconds.
+        :param away: seconds for which it resets all calls.
         """
         self.store.faults.set("reset")
         time.sleep(away)
         self.lost_rows |= self.store.restore(version)
         self.store.faults.left["reset"] = 0
 
-    def write_again(self) -> None:
-        """Have the operator and the servers write what a restored store has lost."""
+    def rewrite_lost_rows(self) -> None:
+        """Have the operator and the servers rewrite the rows that the store lost in a restore."""
         lost, self.lost_rows = self.lost_rows, {}
         if ("op", "config") in lost:
             self.store.put("op", "config", self.configuration)
@@ -139,43 +147,43 @@
         daemon.wait_ready()
         return daemon
 
-    def end_under(self, request: str, body: bytes, server: Replica, path: str | None) -> None:
-        """Have a server end under a request that it has begun to run.
+    def crash_under(self, request: str, body: bytes, server: Replica, path: str | None) -> None:
+        """Crash a server while it runs a request.
 
-        :param request: its id.
-        :param body: the body of the request.
-        :param server: the server that was sent it.
-        :param path: the stages that it takes, for a stream.
+        :param request: id of the request.
+        :param body: body of the request.
+        :param server: the server that it was sent to.
+        :param path: its path, for a stream; the stage ``deadly_stage`` of it crashes.
         """
         if path is not None:
             address = read_path(path)[self.deadly_stage][0]
             server = next((r for r in self.replicas if r.address == address), server)
-        self.ends.append(Ending(body, server.id, server.born, time.monotonic(), request))
-        time.sleep(BEGIN_SECONDS)
+        self.crashes.append(ServerCrash(body, server.id, server.born, time.monotonic(), request))
+        time.sleep(CRASH_DELAY_SECONDS)
         server.crash(self.down_seconds)
 
-    def moved(self, request: str, server: Replica, path: str) -> None:
-        """Have another stage end when such a request is moved to it."""
+    def crash_rerouted(self, request: str, server: Replica, path: str) -> None:
+        """Crash another stage when a crashing request is rerouted to it."""
         body = self.deadly_requests.get(request)
         if body is not None and self.deadly_stage != 0:
             arguments = (request, body, server, path)
-            threading.Thread(target=self.end_under, args=arguments, daemon=True).start()
+            threading.Thread(target=self.crash_under, args=arguments, daemon=True).start()
 
     def wait_placed(self) -> None:
-        """Wait until the servers of each hall hold all layers, and the daemons know it of each server.
+        """Wait until the servers of each hall hold all layers, and all daemons know which.
 
-        Streams are served as soon as a daemon knows one holder of each layer: with no other one known, a
-        stream whose stage ends has nowhere to go on.
+        Daemons serve streams as soon as they know one holder of each layer. Without knowing a second one,
+        they have no server on which to continue a stream whose stage crashes.
         """
         wait_for("all layers are held", self._placed)
         for daemon in self.daemons:
-            wait_for("it knows what all stages hold", partial(_knows_stages, daemon))
+            wait_for("the daemon knows the layers of all servers", partial(_knows_stages, daemon))
 
     def check_path(self, path: list[tuple[str, int, int]], began: float) -> None:
-        """Note a path that does not run every layer once and in order, on servers that hold them.
+        """Record a path that does not run every layer once and in order, on servers that hold them.
 
         :param path: the stages.
-        :param began: when the request came to it: layers given up since are still run for it.
+        :param began: when the request got the path; layers released since then still run for it.
         """
         by_address = {replica.address: replica for replica in self.every_replica}
         position = 0
@@ -187,7 +195,7 @@
             self.wrong_paths.append(f"{path} ends early")
 
     def holds(self, path: list[tuple[str, int, int]]) -> bool:
-        """Tell whether all servers of a path hold their layers at this moment."""
+        """Return whether all servers of a path hold their layers now."""
         at = time.monotonic()
         by_address = {replica.address: replica for replica in self.every_replica}
         return all(
@@ -196,7 +204,7 @@
         )
 
     def stop(self) -> None:
-        """End all that was started here."""
+        """Stop all daemons, servers and the store, and remove the folder."""
         self.stopped = True
         for daemon in self.daemons:
             daemon.stop()
@@ -215,5 +223,5 @@
 
 
 def _knows_stages(daemon: Daemon) -> bool:
-    """Tell whether a daemon, unless it has ended, knows what all stages hold."""
+    """Return whether a daemon knows the layers of all servers; true if it has exited."""
     return daemon.popen.poll() is not None or quietly(daemon.knows_stages)
--- a/standins/users/store.py
+++ b/standins/users/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' metadata store, which may be restored from an older copy."""
+"""Stand-in for the users' metadata store, which can be restored from an older copy."""
 
 import base64
 import threading
@@ -17,47 +17,51 @@
 """Table and key of a row."""
 
 StoredRow = tuple[int, bytes | None]
-"""Version and value of a row; no value when it was removed."""
+"""Version and value of a row; the value is None after its removal."""
 
 
 class Undo(NamedTuple):
-    """A write that a restored store has lost."""
+    """A log record that undoes one write, for restores of earlier versions."""
 
     at: float
-    """When it was done, in monotonic seconds."""
+    """Time of the write, in monotonic seconds."""
 
     version: int
-    """The newest version before it."""
+    """Version of the store before the write."""
 
     key: RowKey
     before: StoredRow | None
 
 
 class MetadataStore:
-    """Rows with versions, conditional transactions and feeds; faults: busy, silent, reset, lost, forgotten.
+    """Versioned rows with conditional transactions and change feeds.
 
-    The first two with the name of a table after them harm calls for that table only.
+    Faults: busy (answers 503), silent (hangs, then resets), reset, lost (applies a transaction but resets
+    its connection) and forgotten (feeds answer 410). The first two, followed by a space and the name of a
+    table, affect calls for that table only.
     """
 
     def __init__(self) -> None:
         self.rows: dict[RowKey, StoredRow] = {}
         self.version = 0
         self.epoch: int | None = 1
-        """Grows each time the store is restored; nothing when its answers do not name it."""
+        """Grows with each restore; None if answers do not carry it."""
 
         self.restores = 0
         self.undo: list[Undo] = []
+        """Undo records of all writes, oldest first."""
+
         self.changed = threading.Condition()
         self.faults = Faults()
         self.calls: Counter[str] = Counter()
         self.server = Server(self)
 
     def put(self, table: str, key: str, value: Any) -> None:
-        """Write a row as the operator or a server does."""
+        """Write a row as JSON, as the operator or a server does."""
         self.put_bytes(table, key, msgspec.json.encode(value))
 
     def put_bytes(self, table: str, key: str, value: bytes) -> None:
-        """Write a row as any writer may: bytes that need not make sense."""
+        """Write a row of arbitrary bytes."""
         with self.changed:
             self._write([((table, key), value)])
 
@@ -67,16 +71,16 @@
             self._write([((table, key), None)])
 
     def version_before(self, seconds: float) -> int:
-        """Return the newest version of some seconds ago."""
+        """Return the version that the store had some seconds ago."""
         with self.changed:
             oldest = time.monotonic() - seconds
             return next((undo.version for undo in self.undo if undo.at > oldest), self.version)
 
     def restore(self, version: int) -> dict[RowKey, bytes | None]:
-        """Come back as a copy of an earlier version; calls under way are never answered.
+        """Restore the state at an earlier version; feed calls in flight get no answer.
 
         :param version: the newest version in the copy.
-        :return: the rows whose newest writes are lost, as they were; nothing for one that was removed.
+        :return: the lost values of the rows whose newest writes are lost; None for a removal.
         """
         with self.changed:
             lost: dict[RowKey, bytes | None] = {}
@@ -95,7 +99,7 @@
             return lost
 
     def serve(self, handler: Handler, body: bytes) -> None:
-        """Serve one call."""
+        """Serve one API call."""
         url = urlsplit(handler.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         self.calls[url.path] += 1
@@ -163,7 +167,7 @@
             handler.json({"ver": self.version, "now_ms": 0})
 
     def _write(self, writes: Sequence[tuple[RowKey, bytes | None]]) -> None:
-        """Do the writes of one transaction; the lock is held."""
+        """Apply the writes of one transaction; the caller holds the lock."""
         before, at = self.version, time.monotonic()
         self.version += 1
         for key, value in writes:
--- a/standins/users/web.py
+++ b/standins/users/web.py
@@ -1,4 +1,4 @@
-"""HTTP of the stand-ins: a thread for each connection, which faults may reset."""
+"""HTTP servers of the stand-ins: one thread for each connection, which faults may reset."""
 
 import socket
 import struct
@@ -15,18 +15,18 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Requests of one connection; what is served is up to the server's ``site``."""
+    """Handler of one connection; passes requests to the ``serve`` method of the server's ``site``."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
     extra: dict[str, str]
-    """Headers of the answer that whoever serves the request adds."""
+    """Further headers of the answer, set while the request is served."""
 
     def log_message(self, *_: Any) -> None:
-        """Say nothing: tests look at what came of requests."""
+        """Log nothing; tests check the outcomes of requests."""
 
     def do_GET(self) -> None:
-        """Serve a GET."""
+        """Serve a request of any method."""
         self.extra = {}
         length = int(self.headers.get("Content-Length") or 0)
         self.server.site.serve(self, self.rfile.read(length))  # type: ignore[attr-defined]
@@ -34,7 +34,7 @@
     do_POST = do_PUT = do_DELETE = do_GET
 
     def answer(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.send_response_only(status)
         for name, value in {**(headers or {}), **self.extra, "Content-Length": str(len(body))}.items():
             self.send_header(name, value)
@@ -42,7 +42,7 @@
         self.wfile.write(body)
 
     def json(self, value: Any, status: int = 200) -> None:
-        """Send a whole answer in JSON."""
+        """Send a complete answer in JSON."""
         self.answer(status, msgspec.json.encode(value), {"Content-Type": "application/json"})
 
     def reset(self) -> None:
@@ -54,7 +54,7 @@
 
 
 class Server(ThreadingHTTPServer):
-    """A listening server of the stand-in."""
+    """A listening HTTP server of a stand-in."""
 
     daemon_threads = True
     allow_reuse_address = True
@@ -67,12 +67,12 @@
         threading.Thread(target=self.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
 
     def process_request(self, request: Any, client_address: Any) -> None:
-        """Remember the connection, so that it can be ended from outside."""
+        """Keep the connection, so that :meth:`end` can close it."""
         self.connections.append(request)
         super().process_request(request, client_address)
 
     def end(self) -> None:
-        """End at once, with all connections."""
+        """Close the listener and all connections at once."""
         self.shutdown()
         self.server_close()
         for connection in self.connections:
@@ -80,9 +80,9 @@
                 connection.shutdown(socket.SHUT_RDWR)
 
     def handle_error(self, *_: Any) -> None:
-        """Pass over connections that broke: faults break them on purpose."""
+        """Ignore broken connections; faults break them on purpose."""
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address it listens on."""
         return f"{HOST}:{self.server_address[1]}"
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -85,7 +85,7 @@
 def test_no_fourth_server_ends(site: UsersSite, path: str, count: int) -> None:
     daemons = started(site, count)
     answers = ask_again_and_again(site, daemons, path)
-    assert len(site.ends) <= MOST_ENDS
+    assert len(site.crashes) <= MOST_ENDS
     assert all(stopped(answer) for answer in answers[-2:])
     assert "retry-after" in answers[-1].headers
     assert site.runs(answers[-1].request) == 0
@@ -95,19 +95,19 @@
     site.deadly_stage = -1
     daemons = started(site, 2)
     answers = ask_again_and_again(site, daemons, "/stream/x")
-    assert len(site.ends) <= MOST_ENDS
+    assert len(site.crashes) <= MOST_ENDS
     assert stopped(answers[-1])
 
 
 def test_daemons_that_all_end_still_know(site: UsersSite) -> None:
     daemons = started(site, 2)
     ask_again_and_again(site, daemons, "/stream/x")
-    ended = len(site.ends)
+    ended = len(site.crashes)
     for daemon in daemons:
         daemon.signal(signal.SIGKILL)
     again = started(site, 2)
     assert all(stopped(send(daemon, DEADLY)) for daemon in again)
-    assert len(site.ends) == ended
+    assert len(site.crashes) == ended
     assert served(again[0])
 
 
@@ -116,9 +116,9 @@
     daemons = started(site, 3, key_trust_ms=60_000)
     site.store.faults.set("busy")
     for number, daemon in enumerate(daemons):
-        wait_for("a server has ended", lambda n=number, d=daemon: send(d, DEADLY) and len(site.ends) > n)
+        wait_for("a server has ended", lambda n=number, d=daemon: send(d, DEADLY) and len(site.crashes) > n)
     wait_for("all refuse it", lambda: all(stopped(send(daemon, DEADLY)) for daemon in daemons))
-    assert len(site.ends) <= MOST_ENDS
+    assert len(site.crashes) <= MOST_ENDS
     site.store.faults.clear()
 
 
--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -81,7 +81,7 @@
     secret = site.store.rows[TABLE, SECRET_KEY][1]
     names = {(TABLE, MEMBER_PREFIX + daemon.settings["member"]) for daemon in daemons}
     site.restore_store(copied)
-    site.write_again()
+    site.rewrite_lost_rows()
     wait_for("their rows are there again", lambda: names <= site.store.rows.keys())
     assert site.store.rows[TABLE, SECRET_KEY][1] == secret
     joined = site.start("hall-0", retry_floor=1000.0)
@@ -96,7 +96,7 @@
     secret = site.store.rows[TABLE, SECRET_KEY][1]
     site.restore_store(copied)
     site.store.put(TABLE, SECRET_KEY, "made on the restored store")
-    site.write_again()
+    site.rewrite_lost_rows()
     wait_for("the secret is the earlier one", lambda: site.store.rows[TABLE, SECRET_KEY][1] == secret)
     time.sleep(1.0)
     assert all(len(daemon.beliefs()["members"]) == 2 for daemon in daemons)
--- a/tests/test_resting_servers.py
+++ b/tests/test_resting_servers.py
@@ -69,7 +69,7 @@
 def max_requests_in_a_rest(server: Replica, answers: Sequence[Answer], rest: float = REST) -> int:
     """Return the largest number of one daemon's requests that reached a server within one rest."""
     own = {answer.request for answer in answers}
-    asked = [at for request, at in server.turned_away if request in own]
+    asked = [at for request, at in server.refused if request in own]
     arrived = [at for request, at in server.arrived if request in own]
     return max((sum(t + IN_FLIGHT_SECONDS < at < t + rest for at in arrived) for t in asked), default=0)
 
@@ -95,7 +95,7 @@
     resting = site.of(PLAIN)[:2]
     refuse_requests(resting)
     answers = send_continuously(daemons, path, 2 * REST)
-    assert all(server.turned_away for server in resting)
+    assert all(server.refused for server in resting)
     assert all(
         max_requests_in_a_rest(server, own) <= MAX_REQUESTS_IN_REST for server in resting for own in answers
     )
@@ -108,7 +108,7 @@
     resting = find_used_stage(site, daemons[0], 0)
     refuse_requests([resting], STAGE_REST)
     answers = send_continuously(daemons, "/stream/x", STAGE_REST + 1.0)
-    assert resting.turned_away
+    assert resting.refused
     assert all(max_requests_in_a_rest(resting, own, STAGE_REST) <= MAX_REQUESTS_IN_REST for own in answers)
     assert all(served_fraction(own) >= MIN_SERVED_FRACTION for own in answers)
 
@@ -120,7 +120,7 @@
     for head in heads:
         head.rest, head.resting_stage = str(STAGE_REST), later
     answers = send_continuously([daemon], "/stream/x", STAGE_REST + 1.0)[0]
-    told = [at for head in heads for _, at in head.turned_away]
+    told = [at for head in heads for _, at in head.refused]
     over = [at for head in heads for r, at in head.arrived if later.address in head.tried_paths[r]]
     assert told
     for start in told:
@@ -148,7 +148,7 @@
     refuse_requests(site.of(PLAIN))
     wait_for("all are at rest", lambda: ask(daemon.callers, "/safe/x").status and all_have_refused(site))
     before = sum(len(server.arrived) for server in site.of(PLAIN))
-    ends = min(server.turned_away[-1][1] for server in site.of(PLAIN)) + REST
+    ends = min(server.refused[-1][1] for server in site.of(PLAIN)) + REST
     asked_at = time.monotonic()
     answers = [ask(daemon.callers, path) for path in ("/safe/x", "/once/x")]
     assert [answer.status for answer in answers] == [503, 503]
@@ -161,7 +161,7 @@
 
 
 def all_have_refused(site: UsersSite) -> bool:
-    return all(server.turned_away for server in site.of(PLAIN))
+    return all(server.refused for server in site.of(PLAIN))
 
 
 def test_a_stream_waits_for_the_end_of_a_short_rest(site: UsersSite) -> None:
@@ -171,7 +171,7 @@
     for head in heads:
         head.faults.left["refuse"] = 1
     answers = send_continuously([daemon], "/stream/x", 0.5)[0]
-    assert all(head.turned_away for head in heads)
+    assert all(head.refused for head in heads)
     assert served_fraction(answers) == 1.0
     assert all(max_requests_in_a_rest(head, answers, 0.8) == 0 for head in heads)
 
@@ -181,7 +181,7 @@
     server = site.of(PLAIN)[0]
     server.rest = "3600"
     server.faults.set("refuse", 1)
-    wait_for("it is at rest", lambda: ask(daemon.callers, "/safe/x").status and server.turned_away)
+    wait_for("it is at rest", lambda: ask(daemon.callers, "/safe/x").status and server.refused)
     seconds = rest_seconds_of(daemon, server)
     assert seconds is not None and 3500 < seconds <= 3600
     assert "servers_resting 1" in metrics(daemon)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 from soak.site import SoakDaemon
 from standins.users import EVENTS
 from standins.users.replica import LimitChange, LimitNamed, RestAsked
-from standins.users.site import Ending
+from standins.users.site import ServerCrash
 
 SECONDS = 8.0
 KEY, GONE_KEY = "key", "gone-key"
@@ -124,7 +124,7 @@
 
 
 def test_too_many_crashes_are_found() -> None:
-    ends = [Ending(b"q", "i", 1, 100.0 + 2 * n) for n in range(10)]
+    ends = [ServerCrash(b"q", "i", 1, 100.0 + 2 * n) for n in range(10)]
     assert any(line.startswith("deadly") for line in excess_crashes(ends))
     assert list(excess_crashes(ends[:5])) == []
 
@@ -237,7 +237,7 @@
     daemon = SimpleNamespace(
         file=SimpleNamespace(stem="d0.1"), lines=lambda name: [entry] if name == "sent" else []
     )
-    site = SimpleNamespace(daemons=[daemon], ends=[Ending(b"q", "i-1", 1, 100.0, "deadly-3")])
+    site = SimpleNamespace(daemons=[daemon], crashes=[ServerCrash(b"q", "i-1", 1, 100.0, "deadly-3")])
     assert list(trace_crashes(site)) == [  # type: ignore[arg-type]
         "99.900 d0.1 sends deadly-3 to i-1",
         "100.000 i-1 crashed while running deadly-3",
@@ -263,8 +263,8 @@
     """Guards against blaming daemons that could not know of earlier crashes: in two traced runs, 4 of 8
     crashes were late. The daemons that caused them had been suspended until 24 ms before, had started
     half a second before, or could not read the store, which was down for all."""
-    early = [Ending(b"q", "i", 1, 80.0, "deadly-0")] * 3
-    late = [Ending(b"q", "i", 1, 100.0, "deadly-1")] * 4
+    early = [ServerCrash(b"q", "i", 1, 80.0, "deadly-0")] * 3
+    late = [ServerCrash(b"q", "i", 1, 100.0, "deadly-1")] * 4
     journal = Journal(faults=[Fault("pause", target, 100.0 + lasts[0], 100.0 + lasts[1])])
     in_touch = contact_predicate(journal, {"deadly-0": "d1.1", "deadly-1": "d0.2"}, "127.0.0.1:1")
     found = list(excess_crashes(early + late, in_touch))
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -100,7 +100,7 @@
     removed = site.of(PLAIN)[0]
     site.store.drop("servers", removed.id)
     time.sleep(DRAIN_SECONDS)
-    site.write_again()
+    site.rewrite_lost_rows()
     for _ in range(2 * LOST_WRITES):
         site.configure()
     time.sleep(SETTLE_SECONDS)
