--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Small stand-ins for the systems around the daemons, for demo, tests and bench."""
+"""Stand-ins for the systems around the daemons, for the demo, the tests and the benchmarks."""
 
 import warnings
 
-# The library says at import that it only mends bugs by now (docs/design/clashes.md).
+# Eventlet warns at import that it is in maintenance mode (see docs/design/clashes.md).
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
--- a/standins/balancer.py
+++ b/standins/balancer.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's balancer: hands each connection to a ready daemon.
+"""Stand-in for the platform's load balancer: forwards each connection to a ready daemon.
 
-It asks ``/readyz`` of every daemon now and then, as balancers do, and passes
-bytes both ways without looking at them.
+It polls ``/readyz`` of every daemon and forwards bytes in both directions without
+parsing them.
 """
 
 import eventlet
@@ -20,7 +20,7 @@
 
 
 class Balancer:
-    """Which daemons are ready, and whose turn it is."""
+    """Forwards connections to the ready daemons in turn."""
 
     def __init__(self, daemons: list[str]) -> None:
         self.daemons = daemons
@@ -28,8 +28,8 @@
         self.turn = 0
         self.http = urllib3.PoolManager(retries=False)
 
-    def watch(self) -> None:
-        """Ask the daemons whether they are ready, for ever."""
+    def poll(self) -> None:
+        """Poll the readiness of all daemons, forever."""
         while True:
             self.ready = [daemon for daemon in self.daemons if self._is_ready(daemon)]
             eventlet.sleep(CHECK_INTERVAL)
@@ -43,7 +43,7 @@
             return False
 
     def connect(self) -> socket.socket | None:
-        """Connect to the next ready daemon."""
+        """Connect to the next ready daemon; return None if there is none."""
         for _ in range(len(self.ready)):
             self.turn += 1
             host, _, port = self.ready[self.turn % len(self.ready)].rpartition(":")
@@ -54,20 +54,20 @@
         return None
 
     def serve(self, caller: socket.socket) -> None:
-        """Pass bytes between a caller and a daemon until both have ended."""
+        """Forward bytes between a caller and a daemon until both directions have ended."""
         daemon = self.connect()
         if daemon is None:
             caller.close()
             return
         daemon.settimeout(None)
-        back = eventlet.spawn(_pass, daemon, caller)
-        _pass(caller, daemon)
+        back = eventlet.spawn(_forward, daemon, caller)
+        _forward(caller, daemon)
         back.wait()
         daemon.close()
         caller.close()
 
 
-def _pass(source: socket.socket, target: socket.socket) -> None:
+def _forward(source: socket.socket, target: socket.socket) -> None:
     try:
         while content := source.recv(READ_BYTES):
             target.sendall(content)
@@ -84,7 +84,7 @@
     arguments = parser.parse_args()
     balancer = Balancer(arguments.daemons)
     host, _, port = arguments.listen.rpartition(":")
-    eventlet.spawn_n(balancer.watch)
+    eventlet.spawn_n(balancer.poll)
     eventlet.serve(
         eventlet.listen((host, int(port)), reuse_port=False), lambda sock, _: balancer.serve(sock), 4096
     )
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The main job by itself: two daemons, three engines that share a model, one service."""
+"""Demo of the main features: two daemons, three engines that share a model, one service."""
 
 import signal
 import time
@@ -13,19 +13,19 @@
 
 
 def main() -> None:
-    """Run the demo; any step that does not do what it says ends it with an error."""
+    """Run the demo; raises an error at the first step with an unexpected result."""
     started = time.monotonic()
     with World() as world:
-        daemons = _build(world)
+        daemons = _start_world(world)
         _completions(world, daemons)
-        _services(world, daemons)
-        _settings(world, daemons)
-        _stop(world, daemons)
-    print(f"done in {time.monotonic() - started:.1f} s; every process is ended")
+        _service_calls(world, daemons)
+        _change_settings(world, daemons)
+        _stop_daemon(world, daemons)
+    print(f"done in {time.monotonic() - started:.1f} s; all processes have ended")
 
 
-def _build(world: World) -> list[Process]:
-    print("starting the platform's stand-in, three engines, one service, two daemons")
+def _start_world(world: World) -> list[Process]:
+    print("starting the stand-in platform, three engines, one service and two daemons")
     world.start_platform()
     engines = {
         "e1": (world.start_engine("e1", 0, 12), 0, 12),
@@ -38,9 +38,9 @@
         {"check-ins": {"servers": {"s1": service.address}, "repeatable": False}},
         LAYERS,
     )
-    code, said = world.cli("settings", "init", str(world.write_settings(tree)), "-p", world.platform)
-    print(f"  $ bayglade settings init tree.yaml: {said.strip()}")
-    assert code == 0, said
+    code, output = world.cli("settings", "init", str(world.write_settings(tree)), "-p", world.platform)
+    print(f"  $ bayglade settings init tree.yaml: {output.strip()}")
+    assert code == 0, output
     daemons = [world.start_daemon("d1"), world.start_daemon("d2")]
     world.wait_ready(*daemons)
     return daemons
@@ -52,13 +52,15 @@
         response = _post(world, daemon, "/v1/completions", body)
         events = response.data.decode().strip().split("\n\n")
         assert events[-1] == "data: [DONE]", events
-        print(f"streamed through {daemon.name}: {len(events) - 2} tokens, then an explicit end")
+        print(
+            f"streamed through {daemon.name}: {len(events) - 2} tokens, then an explicit end of the stream"
+        )
         body["stream"] = False
         whole = msgspec.json.decode(_post(world, daemon, "/v1/completions", body).data)
-        print(f"in one piece through {daemon.name}: {whole['usage']['completion_tokens']} tokens")
+        print(f"not streamed, through {daemon.name}: {whole['usage']['completion_tokens']} tokens")
     record = [run for name in ("e1", "e2", "e3") for run in world.record(name)]
     _check_layers(record)
-    print(f"the engines' own records: each of {LAYERS} layers ran once for each token, in order")
+    print(f"the engines' records: each of {LAYERS} layers ran once for each token, in order")
 
 
 def _check_layers(record: list[list[object]]) -> None:
@@ -69,7 +71,7 @@
         assert sorted(int(str(layer)) for layer in layers) == list(range(LAYERS)), layers
 
 
-def _services(world: World, daemons: list[Process]) -> None:
+def _service_calls(world: World, daemons: list[Process]) -> None:
     headers = {"Idempotency-Key": "session-1", "Content-Type": "application/json"}
     for daemon in daemons:
         _post(world, daemon, "/services/check-ins/run/pain", {"level": 3}, headers)
@@ -77,24 +79,24 @@
     assert len(runs) == 1, runs
     print("the same check-in sent through both daemons: the service ran it once")
     response = _post(world, daemons[0], "/services/check-ins/run/pain", {"level": 5}, headers, 422)
-    print(f"the same key with another body: refused as {_code(response)}")
+    print(f"the same key with another body: refused with {_code(response)}")
 
 
-def _settings(world: World, daemons: list[Process]) -> None:
+def _change_settings(world: World, daemons: list[Process]) -> None:
     first, second = daemons
     code, text = world.cli("settings", "show", address=first.address)
     assert code == 0, text
     path = world.folder / "edited.yaml"
     path.write_text(text.replace("share: 2.0", "share: 3.0"), encoding="utf-8")
-    code, said = world.cli("settings", "apply", str(path), address=first.address)
-    print("  $ bayglade settings apply edited.yaml: " + "; ".join(said.strip().split("\n")))
-    assert code == 0, said
-    code, said = world.cli("settings", "explain", "khangai", "share", "-j", address=second.address)
-    print(f"seen through {second.name}: {said.strip()}")
-    assert '"value":3.0' in said, said
+    code, output = world.cli("settings", "apply", str(path), address=first.address)
+    print("  $ bayglade settings apply edited.yaml: " + "; ".join(output.strip().split("\n")))
+    assert code == 0, output
+    code, output = world.cli("settings", "explain", "khangai", "share", "-j", address=second.address)
+    print(f"seen through {second.name}: {output.strip()}")
+    assert '"value":3.0' in output, output
 
 
-def _stop(world: World, daemons: list[Process]) -> None:
+def _stop_daemon(world: World, daemons: list[Process]) -> None:
     first = daemons[0]
     body = {"model": "guide", "prompt": PROMPT, "max_tokens": 100, "stream": True}
     response = _post(world, first, "/v1/completions", body, stream=True)
@@ -103,8 +105,7 @@
     assert len(events) == 102 and events[-1] == "data: [DONE]", events[-2:]
     wait_for(f"{first.name} ends", lambda: first.popen.poll() is not None)
     print(
-        f"told {first.name} to stop with a stream on it: all 100 tokens came, exit code "
-        f"{first.popen.returncode}"
+        f"stopped {first.name} during a stream: all 100 tokens arrived, exit code {first.popen.returncode}"
     )
     assert first.popen.returncode == 0
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in of a model engine that holds a range of layers.
+"""Stand-in for a model engine that holds a range of layers.
 
-The engine of the first stage drives the others, one step a token and stage.
-Every layer run is recorded, so that tests check the record and not the word of
-the router. Faults are set with ``POST /standin/faults``.
+The engine of the first stage drives the others, with one step for each token and stage.
+Engines record every run of layers, so that tests need not rely on what the router
+reports. Faults are set with ``POST /standin/faults``.
 """
 
 import time
@@ -27,7 +27,7 @@
 
 
 class Step(msgspec.Struct):
-    """One stage's part of one token."""
+    """The work of one stage on one token."""
 
     request: str
     attempt: int
@@ -37,7 +37,7 @@
 
 
 class Faults(msgspec.Struct):
-    """What the stand-in does wrong just now."""
+    """The faults that are active."""
 
     token_delay: float = 0.0
     refuse: bool = False
@@ -48,7 +48,7 @@
 
 
 class Engine:
-    """The state of one engine."""
+    """One engine."""
 
     def __init__(self, arguments: Any) -> None:
         self.id = BackendId(arguments.id)
@@ -56,7 +56,7 @@
         self.version = arguments.version
         self.step_seconds = arguments.step_ms / 1000
         self.slots = arguments.slots
-        self.gate = Semaphore(arguments.slots)
+        self.slot_semaphore = Semaphore(arguments.slots)
         self.waiting = 0
         self.leaving = False
         self.loading = False
@@ -65,13 +65,13 @@
         self.epoch = 0
         self.orders: list[list[Any]] = []
         self.fences: dict[str, int] = {}
-        # A file, so that the record of a killed engine is whole up to its last step.
+        # A file, so that the record of a killed engine is complete up to its last step.
         self.record = Path(arguments.record).open("ab", buffering=0)  # noqa: SIM115
         self.faults = Faults()
         self.http = urllib3.PoolManager(retries=False, maxsize=256)
 
     def generate(self, body: bytes, start_response: web.StartResponse) -> Iterable[bytes]:
-        """Run an attempt as its first stage, streaming frames."""
+        """Run an attempt as its first stage, and stream its frames."""
         order = msgspec.json.decode(body, type=wire.Generate)
         wrong = self.loading or order.version != self.version
         if self.faults.refuse or self.leaving or wrong:
@@ -84,7 +84,7 @@
     def _frames(self, order: wire.Generate) -> Iterator[bytes]:
         self.waiting += 1
         try:
-            self.gate.acquire()
+            self.slot_semaphore.acquire()
         finally:
             self.waiting -= 1
         try:
@@ -93,20 +93,20 @@
                 if error is not None:
                     yield msgspec.json.encode(error) + b"\n"
                     return
-                yield from self._faulty(order, index)
+                yield from self._token_frames(order, index)
             end = wire.EndFrame(order.request, order.attempt, order.max_tokens, "length", self.load())
             yield msgspec.json.encode(end) + b"\n"
         finally:
-            self.gate.release()
+            self.slot_semaphore.release()
 
-    def _faulty(self, order: wire.Generate, index: int) -> Iterator[bytes]:
+    def _token_frames(self, order: wire.Generate, index: int) -> Iterator[bytes]:
         text = token_text(order.model, order.version, order.prompt, index)
         frame = wire.TokenFrame(order.request, order.attempt, index, text)
         line = msgspec.json.encode(frame) + b"\n"
         while self.faults.silent:
             eventlet.sleep(0.05)
         if self.faults.cut_after == index:
-            raise ConnectionError("cut by order of the test")
+            raise ConnectionError("connection cut by the cut_after fault")
         if self.faults.stray_frames:
             stray = msgspec.structs.replace(frame, request="somebody-else", text="STRAY")
             yield msgspec.json.encode(stray) + b"\n"
@@ -121,8 +121,8 @@
             eventlet.sleep(self.faults.token_delay)
         for position, stage in enumerate(order.stages):
             step = Step(order.request, order.attempt, index, stage.first, stage.last)
-            fine = self._run(step) if position == 0 else self._remote(stage, step)
-            if not fine:
+            succeeded = self._run(step) if position == 0 else self._run_remote(stage, step)
+            if not succeeded:
                 return wire.ErrorFrame(order.request, order.attempt, "stage_failed", stage.backend)
         return None
 
@@ -138,7 +138,7 @@
         self.record.write(msgspec.json.encode(run) + b"\n")
         return True
 
-    def _remote(self, stage: wire.Stage, step: Step) -> bool:
+    def _run_remote(self, stage: wire.Stage, step: Step) -> bool:
         url = f"http://{stage.address}/v1/step"
         try:
             response = self.http.request(
@@ -155,19 +155,19 @@
         return (200, {}) if self._run(msgspec.json.decode(body, type=Step)) else (409, {})
 
     def cancel(self, body: bytes, _: dict[str, Any]) -> tuple[int, Any]:
-        """Fence an attempt: no step of it or of an older one runs any more."""
+        """Fence an attempt: steps of it and of older attempts are refused from now on."""
         order = msgspec.json.decode(body, type=wire.Cancel)
         self.fences[order.request] = max(order.attempt + 1, self.fences.get(order.request, 0))
         return 200, {}
 
     def load(self) -> wire.Load:
-        """Report the load."""
+        """Return the current load."""
         versions = [] if self.loading else [Version(self.version)]
-        running = self.slots - self.gate.counter
+        running = self.slots - self.slot_semaphore.counter
         return wire.Load(running, self.waiting, self.slots, self.leaving, versions, self.loading)
 
     def order(self, body: bytes, _: dict[str, Any]) -> tuple[int, Any]:
-        """Take an order to hold a version: finish what runs, load, then serve it."""
+        """Handle an order to hold a version: finish running requests, load the version, then serve it."""
         order = msgspec.json.decode(body, type=wire.HoldVersion)
         taken = order.epoch >= self.epoch or not self.checks_orders
         self.orders.append([order.epoch, order.version, taken, time.monotonic()])
@@ -180,7 +180,7 @@
         return 200, {}
 
     def _load_version(self, version: str) -> None:
-        while self.gate.counter < self.slots:
+        while self.slot_semaphore.counter < self.slots:
             eventlet.sleep(0.01)
         eventlet.sleep(self.load_seconds)
         self.version, self.loading = version, False
@@ -191,7 +191,7 @@
         return 200, {}
 
     def leave(self, _: bytes, __: dict[str, Any]) -> tuple[int, Any]:
-        """Begin to leave: streams finish, new work is refused."""
+        """Start to leave: running streams finish, new requests are refused."""
         self.leaving = True
         return 200, {}
 
@@ -204,9 +204,9 @@
     parser.add_argument("--last", type=int, required=True)
     parser.add_argument("--version", default="v1")
     parser.add_argument("--load-ms", type=float, default=300.0)
-    parser.add_argument("--unchecked", action="store_true", help="take any order")
+    parser.add_argument("--unchecked", action="store_true", help="accept orders of any epoch")
     parser.add_argument("--step-ms", type=float, default=1.0)
-    parser.add_argument("--record", required=True, help="file for the layers that were run")
+    parser.add_argument("--record", required=True, help="file in which to record the runs of layers")
     parser.add_argument("--slots", type=int, default=8)
     arguments = parser.parse_args()
     engine = Engine(arguments)
--- a/standins/limit_sharing.py
+++ b/standins/limit_sharing.py
@@ -1,4 +1,4 @@
-"""Daemons that share the rate limit of one server, in simulated time: ways of sharing it under loads."""
+"""Simulation of daemons that share the rate limit of one server, by policy and load."""
 
 import hashlib
 import random
@@ -12,59 +12,60 @@
 from bayglade.rate_limits import USED_FRACTION
 
 STEP = 0.01
+"""Simulated seconds in a step."""
 WAIT_SECONDS = 1.5
-"""For how long a call waits for its daemon's share."""
+"""How long a request waits for its daemon's share before it is given up."""
 LIST_SECONDS = 2.0
-"""A daemon that comes or goes is known to each of the others after this time at most."""
+"""Time within which every daemon learns that another one joined or left."""
 PULSE_SECONDS = 5.0
 FLOOD_FACTOR = 4.0
-"""Calls of a flood, as a multiple of the limit."""
+"""Requests of a flood, as a multiple of the limit."""
 CHURN_SECONDS = 1.0
 WINDOW_SECONDS = 4.0
 WINDOW_FACTOR = 1.5
 WINDOW_EXTRA = 5.0
-"""What a server bears in a window: so many times its limit, and so many requests more."""
-HOLDERS_PART = 0.75
-"""Part of the most daemons that may share a limit: while daemons come and go, their lists differ."""
+"""Requests that a server tolerates in a window: a multiple of its limit, plus a constant."""
+HOLDERS_FRACTION = 0.75
+"""Fraction used of the largest allowed number of sharing daemons, as their lists differ during changes."""
 
 
 class Way(Enum):
-    """How daemons share a limit."""
+    """Policy by which daemons share a limit."""
 
     ALONE = "each keeps the limit for itself"
-    EVEN = "an even part for each daemon"
-    HOLDERS = "even parts for a few daemons"
-    LOANS = "one daemon lends each sending"
+    EVEN = "an equal part for each daemon"
+    HOLDERS = "equal parts for a few daemons"
+    LOANS = "one daemon grants each request"
 
 
 class Demand(Enum):
-    """When callers come to the daemons."""
+    """Pattern in which requests arrive at the daemons."""
 
-    FLOOD = "all daemons have callers all the time"
-    THIN = "no more than the limit allows, spread over all daemons"
-    PULSES = "after a silence each daemon has a caller at the same moment"
-    FEW = "a tenth of the daemons have all callers"
+    FLOOD = "requests far beyond the limit arrive at all daemons"
+    THIN = "requests at the limit, spread over all daemons"
+    PULSES = "after a pause, a request arrives at each daemon at once"
+    FEW = "requests far beyond the limit arrive at a tenth of the daemons"
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What came of a simulation."""
+    """Outcome of a simulation."""
 
     worst: int
-    """The most requests that reached the server in one window."""
+    """Largest number of requests that reached the server in one window."""
 
     used: float
-    """Part of what the server could have taken, of the calls there were, that it got."""
+    """Requests sent, as a fraction of those that were offered and within the limit."""
 
 
 class Share:
-    """What a daemon may send: a token bucket of its own."""
+    """A share of a limit: a token bucket."""
 
     def __init__(self) -> None:
         self.rate = 0.0
         self.bucket = Bucket(0.0, 0.0, 0.0)
 
     def set_rate(self, rate: float, at: float) -> None:
-        """Change the share; whoever gets one has saved nothing up."""
+        """Change the rate of the share; a bucket that had no rate before starts empty."""
         if self.rate:
             self.bucket.refill(self.rate, at)
         else:
@@ -72,7 +73,7 @@
         self.rate = rate
 
     def take(self, at: float) -> bool:
-        """Take a request out of the share; tell whether there was one."""
+        """Take a token for one request; return whether there was one."""
         self.bucket.refill(self.rate, at)
         if not self.rate or self.bucket.wait_for(1.0, self.rate) > 0:
             return False
@@ -81,16 +82,16 @@
 
 
 def allowed(rate: float) -> float:
-    """Return how many requests a server with a limit bears in a window."""
+    """Return how many requests a server with a limit tolerates in a window."""
     return WINDOW_SECONDS * WINDOW_FACTOR * rate + WINDOW_EXTRA
 
 
 def holders_of(rate: float, hall: HallName, daemons: Mapping[MemberId, HallName]) -> Sequence[MemberId]:
-    """Choose the few daemons that share a limit, by hash, those of the server's hall first.
+    """Choose the few daemons that share a limit: those in the server's data hall first, then by hash.
 
-    Each may have saved one request up, and all of these may go out in the same second.
+    Their number is bounded, as each may have saved up one token, and all may be spent in the same second.
     """
-    most = max(1, int(HOLDERS_PART * (allowed(rate) - WINDOW_SECONDS * USED_FRACTION * rate)))
+    most = max(1, int(HOLDERS_FRACTION * (allowed(rate) - WINDOW_SECONDS * USED_FRACTION * rate)))
     return sorted(daemons, key=lambda member: (daemons[member] != hall, _rank(member)))[:most]
 
 
@@ -106,14 +107,14 @@
 
 
 class Simulation:
-    """One server, and the daemons before it.
+    """One server, and the daemons that send to it.
 
-    :param way: how they share its limit.
-    :param demand: when callers come.
+    :param way: policy by which they share its limit.
+    :param demand: arrival pattern of requests.
     :param rate: the limit, in requests a second.
-    :param daemons: how many daemons there are.
-    :param halls: over how many halls; the server is a plain one in the first.
-    :param churn: whether daemons are replaced all the time, of which the others know at different times.
+    :param daemons: number of daemons.
+    :param halls: number of data halls that they are spread over; the server is in the first.
+    :param churn: whether daemons are replaced continually, which the others learn at different times.
     """
 
     def __init__(
@@ -125,22 +126,22 @@
         self.hall_of = {daemon.name: HallName(f"h{n % halls}") for n, daemon in enumerate(self.daemons)}
         self.pool = Share()
         self.lists: list[tuple[float, _Daemon, dict[MemberId, HallName]]] = []
-        """Lists of daemons that are on their way, by when they arrive."""
+        """Pending updates of lists of daemons: arrival time, receiver and list."""
 
-        self.made = daemons
+        self.created = daemons
         self.offered = 0
         self.sent: list[float] = []
 
     def run(self, seconds: float) -> Result:
-        """Play for some time."""
+        """Simulate some seconds."""
         if self.way is Way.LOANS:
             self.pool.set_rate(USED_FRACTION * self.rate, 0.0)
         for daemon in self.daemons:
             self._assign(daemon, dict(self.hall_of), 0.0)
         for step in range(int(seconds / STEP)):
             self._step(step * STEP)
-        could = min(self.rate * seconds, float(self.offered))
-        return Result(worst_window(self.sent), len(self.sent) / could if could else 0.0)
+        possible = min(self.rate * seconds, float(self.offered))
+        return Result(worst_window(self.sent), len(self.sent) / possible if possible else 0.0)
 
     def _step(self, at: float) -> None:
         if self.churn and _every(at, CHURN_SECONDS):
@@ -148,7 +149,7 @@
         while self.lists and self.lists[0][0] <= at:
             _, daemon, known = self.lists.pop(0)
             self._assign(daemon, known, at)
-        for daemon in self._asked(at):
+        for daemon in self._arrivals(at):
             self.offered += 1
             daemon.waiting.append(at)
         for daemon in self.daemons:
@@ -162,7 +163,7 @@
             daemon.waiting.pop(0)
             self.sent.append(at)
 
-    def _asked(self, at: float) -> Sequence[_Daemon]:
+    def _arrivals(self, at: float) -> Sequence[_Daemon]:
         if self.demand is Demand.PULSES:
             return self.daemons if _every(at, PULSE_SECONDS) else ()
         few = self.daemons[: max(1, len(self.daemons) // 10)]
@@ -180,10 +181,10 @@
         daemon.share.set_rate(rate, at)
 
     def _replace(self, at: float) -> None:
-        """Have one daemon go and another one come."""
+        """Replace a random daemon by a new one."""
         gone = self.rng.randrange(len(self.daemons))
-        name = MemberId(f"d{self.made}")
-        self.made += 1
+        name = MemberId(f"d{self.created}")
+        self.created += 1
         self.hall_of[name] = self.hall_of.pop(self.daemons[gone].name)
         self.daemons[gone] = _Daemon(name)
         for daemon in self.daemons:
@@ -205,9 +206,9 @@
 
 
 def worst_window(times: Sequence[float]) -> int:
-    """Return the most requests in any window.
+    """Return the largest number of requests in any window.
 
-    :param times: when they arrived, in order.
+    :param times: arrival times, in order.
     """
     worst = first = 0
     for last, at in enumerate(times):
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,8 +1,9 @@
-"""Stand-in of the platform: table service, object store and host list.
+"""Stand-in for the platform: table service, object store and host list.
 
-Faults are set with ``POST /standin/faults``: ``out`` refuses everything,
-``delay`` slows every answer, ``lose_answers`` drops the next answers of writes
-after they took effect, ``restore`` puts the table back to a saved copy.
+Faults are set with ``POST /standin/faults``: ``out`` refuses all requests, ``table_out``
+those for the table, ``delay`` delays every answer, ``lose_answers`` answers the next
+writes with an error after they took effect, and ``writes_per_second`` limits writes.
+``POST /standin/save`` copies the table, and ``POST /standin/restore`` restores that copy.
 """
 
 import time
@@ -17,7 +18,7 @@
 
 
 class Faults(msgspec.Struct):
-    """What the stand-in does wrong just now."""
+    """The faults that are active."""
 
     out: bool = False
     table_out: bool = False
@@ -27,7 +28,7 @@
 
 
 class Table:
-    """Rows, objects and hosts, in memory."""
+    """Rows, objects and hosts, held in memory."""
 
     def __init__(self) -> None:
         self.table: dict[str, rows.Row] = {}
@@ -46,8 +47,8 @@
         return 200, wire.Rows({key: self.table[key] for key in keys if key in self.table})
 
     def transact(self, body: bytes, _: dict[str, Any]) -> tuple[int, Any]:
-        """Apply a transaction when all its conditions hold."""
-        self._pace()
+        """Apply a transaction if all its conditions hold."""
+        self._limit_writes()
         self.writes += 1
         order = msgspec.json.decode(body, type=rows.Transaction)
         conflicts = [c.key for c in order.conditions if self._version(c.key) != c.version]
@@ -63,7 +64,7 @@
     def _version(self, key: str) -> int:
         return self.table[key].version if key in self.table else rows.ABSENT
 
-    def _pace(self) -> None:
+    def _limit_writes(self) -> None:
         if not self.faults.writes_per_second:
             return
         now = time.monotonic()
@@ -71,27 +72,27 @@
         eventlet.sleep(self.next_write - now)
 
     def put_object(self, body: bytes, environ: dict[str, Any]) -> tuple[int, Any]:
-        """Keep an object, unless it is there already."""
+        """Store an object, unless it exists already."""
         self.objects.setdefault(environ["PATH_INFO"].rpartition("/")[2], body)
         return 201, {}
 
     def get_object(self, _: bytes, environ: dict[str, Any]) -> tuple[int, Any]:
-        """Answer with an object."""
+        """Return an object."""
         content = self.objects.get(environ["PATH_INFO"].rpartition("/")[2])
         return (404, {}) if content is None else (200, content)
 
     def list_hosts(self, _: bytes, __: dict[str, Any]) -> tuple[int, Any]:
-        """Answer with the host list."""
+        """Return the host list."""
         return 200, wire.Hosts(list(self.hosts.values()))
 
     def set_host(self, body: bytes, _: dict[str, Any]) -> tuple[int, Any]:
-        """Add or change one host of the list."""
+        """Add or replace a host in the list."""
         host = msgspec.json.decode(body, type=wire.Host)
         self.hosts[host.id] = host
         return 200, {}
 
     def remove_host(self, body: bytes, _: dict[str, Any]) -> tuple[int, Any]:
-        """Take one host off the list."""
+        """Remove a host from the list."""
         self.hosts.pop(msgspec.json.decode(body, type=str), None)
         return 200, {}
 
@@ -101,17 +102,17 @@
         return 200, {}
 
     def save(self, _: bytes, __: dict[str, Any]) -> tuple[int, Any]:
-        """Keep a copy of the table to restore later."""
+        """Copy the table, to be restored later."""
         self.saved = dict(self.table)
         return 200, {}
 
     def restore(self, _: bytes, __: dict[str, Any]) -> tuple[int, Any]:
-        """Put the table back to the saved copy."""
+        """Restore the table from the saved copy."""
         self.table = dict(self.saved)
         return 200, {}
 
     def counts(self, _: bytes, __: dict[str, Any]) -> tuple[int, Any]:
-        """Tell how many reads and writes there were."""
+        """Return the number of reads, writes and rows."""
         return 200, {"reads": self.reads, "writes": self.writes, "rows": len(self.table)}
 
 
@@ -121,7 +122,7 @@
     table = Table()
     site = web.Site()
 
-    def guarded(handler: web.Handler) -> web.Handler:
+    def with_faults(handler: web.Handler) -> web.Handler:
         def run(body: bytes, environ: dict[str, Any]) -> tuple[int, Any]:
             if table.faults.delay:
                 eventlet.sleep(table.faults.delay)
@@ -133,11 +134,11 @@
         return run
 
     site.handlers = {
-        f"POST {wire.TABLE_READ_PATH}": guarded(table.read),
-        f"POST {wire.TABLE_TRANSACT_PATH}": guarded(table.transact),
-        f"PUT {wire.OBJECT_PATH}": guarded(table.put_object),
-        f"GET {wire.OBJECT_PATH}": guarded(table.get_object),
-        f"GET {wire.HOSTS_PATH}": guarded(table.list_hosts),
+        f"POST {wire.TABLE_READ_PATH}": with_faults(table.read),
+        f"POST {wire.TABLE_TRANSACT_PATH}": with_faults(table.transact),
+        f"PUT {wire.OBJECT_PATH}": with_faults(table.put_object),
+        f"GET {wire.OBJECT_PATH}": with_faults(table.get_object),
+        f"GET {wire.HOSTS_PATH}": with_faults(table.list_hosts),
         "POST /standin/hosts": table.set_host,
         "POST /standin/hosts/remove": table.remove_host,
         "POST /standin/faults": table.set_faults,
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in of a plain service: keeps what it was sent and counts each run.
+"""Stand-in for a plain service: records the requests it ran.
 
 Faults are set with ``POST /standin/faults``: ``delay`` waits before running,
-``refuse`` refuses before running, ``cut`` runs and then drops the answer.
+``refuse`` refuses without running, ``cut`` runs and then closes the connection.
 """
 
 import socket
@@ -14,7 +14,7 @@
 
 
 class Faults(msgspec.Struct):
-    """What the stand-in does wrong just now."""
+    """The faults that are active."""
 
     delay: float = 0.0
     refuse: bool = False
@@ -22,7 +22,7 @@
 
 
 class Service:
-    """Runs seen so far."""
+    """A service that records its runs."""
 
     def __init__(self) -> None:
         self.runs: list[list[str]] = []
@@ -31,7 +31,7 @@
         self.faults = Faults()
 
     def run(self, body: bytes, environ: dict[str, Any]) -> tuple[int, Any]:
-        """Run one call."""
+        """Run one request."""
         if self.faults.refuse:
             return 503, {}
         self.begun += 1
--- a/standins/web.py
+++ b/standins/web.py
@@ -12,11 +12,11 @@
 
 StartResponse = Callable[..., Any]
 Handler = Callable[[bytes, dict[str, Any]], tuple[int, Any]]
-"""Takes body and environment; returns a status and what to encode as JSON."""
+"""Takes the body and the WSGI environment; returns a status and a value to encode as JSON."""
 
 
 class Site:
-    """Routes ``METHOD /path`` to handlers; a path ending in ``/`` takes all below."""
+    """Routes ``METHOD /path`` to handlers; a path that ends in ``/`` matches all paths below it."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, Handler] = {}
@@ -29,27 +29,27 @@
         name = f"{environ['REQUEST_METHOD']} {environ['PATH_INFO']}"
         if name in self.streams:
             return self.streams[name](body, start_response)
-        handler = self.handlers.get(name) or self._below(name)
+        handler = self.handlers.get(name) or self._by_prefix(name)
         status, answer = handler(body, environ) if handler else (404, {"error": name})
         content = answer if isinstance(answer, bytes) else msgspec.json.encode(answer)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(content)))]
         start_response(f"{status} Status", headers)
         return [content]
 
-    def _below(self, name: str) -> Handler | None:
+    def _by_prefix(self, name: str) -> Handler | None:
         prefixes = [key for key in self.handlers if key.endswith("/") and name.startswith(key)]
         return self.handlers[prefixes[0]] if prefixes else None
 
 
 def serve(site: Site, listen: str) -> None:
-    """Serve until the process is told to end.
+    """Serve until the process is terminated.
 
     :param site: the routes.
-    :param listen: IP number, colon, port.
+    :param listen: address as ``IP:port``.
     """
     host, _, port = listen.rpartition(":")
     sock = eventlet.listen((host, int(port)), backlog=1024, reuse_port=False)
-    # Accepted connections take this over: a token must not wait for an acknowledgement.
+    # Accepted connections inherit this; otherwise a token may wait for an acknowledgement.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGKILL))
     print(f"listening {listen}", flush=True)
@@ -57,7 +57,7 @@
 
 
 def parser(description: str) -> argparse.ArgumentParser:
-    """Start the arguments that all stand-ins share."""
+    """Return a parser with the arguments that all stand-ins share."""
     made = argparse.ArgumentParser(description=description)
-    made.add_argument("--listen", required=True, help="IP number, colon, port")
+    made.add_argument("--listen", required=True, help="address as IP:port")
     return made
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,6 +1,6 @@
-"""A small world of processes on loopback: stand-ins and daemons, for demo, tests and bench.
+"""Processes of stand-ins and daemons on the loopback interface, for the demo, tests and benchmarks.
 
-Everything started here is ended by :meth:`World.stop`, by process id.
+:meth:`World.stop` ends every process that was started here, by process id.
 """
 
 import os
@@ -26,36 +26,36 @@
 
 HOST = "127.0.0.1"
 START_TIMEOUT = 60.0
-"""Seconds that a process may take to come up: with 30 tasks waiting for 8 cores one took more than
-15. How long it takes is not what is tested."""
+"""Seconds that a process may take to start. One took more than 15 s while 30 tasks waited for 8 cores;
+no test depends on the time of a start."""
 STOP_TIMEOUT = 60.0
-"""Seconds that a process may take to end once it was killed; not tested either."""
+"""Seconds that a process may take to exit after it was killed; no test depends on this either."""
 WAIT_TIMEOUT = 15.0
-"""Seconds in which a condition that a test waits for has to hold."""
-POLL = 0.02
+"""Default seconds within which a condition that a test waits for must become true."""
+POLL_SECONDS = 0.02
 PROGRAM = ("-m", "bayglade")
 CALLER_KEY = "caller-key"
 OPERATOR_KEY = "operator-key"
 
-FIRST_PORT, PORT_RANGES, PORTS_A_RANGE = 15000, 16, 1000
+FIRST_PORT, PORT_RANGES, PORTS_PER_RANGE = 15000, 16, 1000
 
-# Processes that run at the same time begin at different ranges. Workers of one test run are
-# told apart by their number: two whose process ids happened to agree took the same port, each
-# before the other's process listened on it. Two test runs begin at different places.
+# Concurrent test processes use different port ranges. The workers of one test run are distinguished by
+# their number: with process ids alone, two workers got the same range and took the same port before
+# either listened on it. Different test runs start from different ranges.
 _run = sum(os.environ.get("PYTEST_XDIST_TESTRUNUID", "").encode())
 _worker = os.environ.get("PYTEST_XDIST_WORKER", "").removeprefix("gw")
-_place = _run + int(_worker) if _worker.isdigit() else os.getpid()
-_range = FIRST_PORT + _place % PORT_RANGES * PORTS_A_RANGE
-_ports = cycle(range(_range, _range + PORTS_A_RANGE))
+_offset = _run + int(_worker) if _worker.isdigit() else os.getpid()
+_range = FIRST_PORT + _offset % PORT_RANGES * PORTS_PER_RANGE
+_ports = cycle(range(_range, _range + PORTS_PER_RANGE))
 _reserved: list[socket.socket] = []
-"""Sockets that hold the ports handed out here against other runs, also while nobody listens on them: a
-daemon that came back found its port taken by another run."""
+"""Sockets that reserve the returned ports against other test runs, even while no process listens on them:
+a restarted daemon once found its port taken by another run."""
 
 ValueT = TypeVar("ValueT")
 
 
 class Process:
-    """One process of the world: its address for requests and its log."""
+    """A process, with its address for requests and its log."""
 
     def __init__(
         self, name: str, address: str, popen: subprocess.Popen[bytes], log: Path, path: str
@@ -74,13 +74,13 @@
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once and wait for its end."""
+        """Kill the process and wait for its exit."""
         self.popen.kill()
         self.popen.wait(STOP_TIMEOUT)
 
 
 class World:
-    """Processes, a folder for their files, and HTTP towards them."""
+    """A set of processes, with a folder for their files and an HTTP client."""
 
     def __init__(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="bayglade-"))
@@ -99,7 +99,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """End every process that this world started and remove its folder."""
+        """Kill every process that was started here, and remove the folder."""
         for process in self.processes.values():
             if process.popen.poll() is None:
                 process.signal(signal.SIGCONT)
@@ -110,10 +110,10 @@
     def start(self, name: str, arguments: list[str], address: str, path: str) -> Process:
         """Start one process; :meth:`wait_up` waits until it answers.
 
-        :param name: its name here.
-        :param arguments: after the Python program.
-        :param address: where it will answer.
-        :param path: a page that answers when it is up.
+        :param name: its name, also of its log.
+        :param arguments: arguments to the Python interpreter.
+        :param address: the address it will listen on.
+        :param path: a path that it answers with 200 when it is up.
         :return: the process.
         """
         log = self.folder / f"{name}.log"
@@ -134,7 +134,7 @@
             wait_for(f"{process.name} answers", lambda p=process: self._answers(p), START_TIMEOUT)
 
     def start_platform(self) -> Process:
-        """Start the stand-in of the platform and wait until it answers."""
+        """Start the stand-in for the platform and wait until it answers."""
         self.platform = f"{HOST}:{free_port()}"
         arguments = ["-m", "standins.platform", "--listen", self.platform]
         process = self.start("platform", arguments, self.platform, "/standin/counts")
@@ -142,9 +142,9 @@
         return process
 
     def start_engine(self, name: str, first: int, last: int, **options: object) -> Process:
-        """Start a stand-in of an engine that holds layers ``[first, last)``.
+        """Start a stand-in for an engine that holds layers ``[first, last)``.
 
-        :param options: ``version``, ``step_ms``, ``slots``, ``address``.
+        :param options: ``address``, or flags of the stand-in, such as ``version`` and ``step_ms``.
         """
         address = str(options.pop("address", f"{HOST}:{free_port()}"))
         arguments = ["-m", "standins.engine", "--listen", address, "--id", name]
@@ -155,16 +155,16 @@
         return self.start(name, arguments, address, "/v1/load")
 
     def record(self, name: str) -> list[list[Any]]:
-        """Read what an engine has run, whether or not it still lives.
+        """Read what an engine has run; it may have ended since.
 
-        :return: request, attempt, index, first layer, last layer, time, in order.
+        :return: request, attempt, index, first layer, end of the layers and time of each run, in order.
         """
         path = self.folder / f"{name}.record"
         lines = path.read_bytes().splitlines() if path.exists() else []
         return [msgspec.json.decode(line) for line in lines]
 
     def start_service(self, name: str) -> Process:
-        """Start a stand-in of a plain service."""
+        """Start a stand-in for a plain service."""
         address = f"{HOST}:{free_port()}"
         arguments = ["-m", "standins.service", "--listen", address]
         return self.start(name, arguments, address, "/standin/runs")
@@ -174,9 +174,9 @@
     ) -> Process:
         """Start an entry daemon.
 
-        :param listed: put it on the host list first.
-        :param program: what Python is to run.
-        :param fields: fields of its own settings that differ from the usual.
+        :param listed: whether to add it to the host list first.
+        :param program: arguments with which the Python interpreter runs the program.
+        :param fields: fields of its settings file that differ from the defaults.
         """
         address = str(fields.pop("callers", f"{HOST}:{free_port()}"))
         peers = str(fields.pop("entries", f"{HOST}:{free_port()}"))
@@ -198,20 +198,20 @@
         return self.start(name, [*program, "entry", "--config", str(path)], address, "/healthz")
 
     def list_host(self, name: str, kind: str, address: str, state: str = "live") -> None:
-        """Put a host on the platform's host list."""
+        """Add a host to the platform's host list."""
         host = {"id": name, "kind": kind, "address": address, "hall": "plateau", "state": state}
         self.post(self.platform, "/standin/hosts", host)
 
     def write_settings(self, tree: dict[str, Any]) -> Path:
-        """Write a settings file into the folder."""
+        """Write a settings file to the folder."""
         path = self.folder / "tree.yaml"
         path.write_text(documents.write(tree, 0), encoding="utf-8")  # type: ignore[arg-type]
         return path
 
     def cli(self, *arguments: str, address: str = "", key: str = OPERATOR_KEY) -> tuple[int, str]:
-        """Run a command of the program.
+        """Run a ``bayglade`` command.
 
-        :return: its exit code and what it printed.
+        :return: its exit code and output.
         """
         environment = {**os.environ, "BAYGLADE_KEY": key, "BAYGLADE_ADDRESS": address}
         done = subprocess.run(
@@ -236,7 +236,7 @@
         return msgspec.json.decode(response.data)
 
     def apply(self, address: str, edit: Callable[[dict[str, Any]], None]) -> Any:
-        """Change the settings through a daemon, as the command does.
+        """Change the settings through a daemon, as ``bayglade settings apply`` does.
 
         :param address: the daemon.
         :param edit: changes the document in place.
@@ -249,7 +249,7 @@
         return remote.change(found.revision, found.document, after, "")
 
     def wait_ready(self, *daemons: Process) -> None:
-        """Wait until daemons have settings and hear each other."""
+        """Wait until daemons are ready and receive heartbeats from each other."""
         self.wait_up()
         for daemon in daemons:
             wait_for(f"{daemon.name} is ready", lambda d=daemon: self._ready(d, daemons))
@@ -259,12 +259,12 @@
             status = Remote(daemon.address, OPERATOR_KEY).status()
         except BaygladeError:
             return False
-        heard = [m for m in status.members if m.live and m.revision == status.revision]
-        return status.ready and len(heard) >= len(daemons) - 1
+        synced = [m for m in status.members if m.live and m.revision == status.revision]
+        return status.ready and len(synced) >= len(daemons) - 1
 
     def _answers(self, process: Process) -> bool:
         if process.popen.poll() is not None:
-            raise RuntimeError(f"{process.name} ended:\n{process.log.read_text()[-2000:]}")
+            raise RuntimeError(f"{process.name} exited:\n{process.log.read_text()[-2000:]}")
         try:
             url = f"http://{process.address}{process.path}"
             return self.http.request("GET", url, timeout=1.0).status == 200
@@ -275,30 +275,30 @@
 def wait_for(what: str, probe: Callable[[], ValueT], timeout: float = WAIT_TIMEOUT) -> ValueT:
     """Wait until a condition holds.
 
-    :param what: the condition in words, for the error.
-    :param probe: returns something true when it holds.
-    :param timeout: seconds after which waiting makes no sense.
-    :return: what the probe returned.
-    :raises TimeoutError: when it did not come to hold.
+    :param what: description of the condition, for the error.
+    :param probe: returns a true value when the condition holds.
+    :param timeout: seconds to wait at most.
+    :return: the value that the probe returned.
+    :raises TimeoutError: if the condition did not become true in time.
     """
     until = time.monotonic() + timeout
     while time.monotonic() < until:
         value = probe()
         if value:
             return value
-        time.sleep(POLL)
-    raise TimeoutError(f"it did not come true that {what}")
+        time.sleep(POLL_SECONDS)
+    raise TimeoutError(f"timed out waiting until {what}")
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on and that no other call returned.
+    """Return a port that is not in use and that no other call has returned.
 
-    Ports for outgoing connections are left alone: one could take the port
-    before the process that it is meant for listens on it.
+    The ports are outside the ephemeral range: an outgoing connection could take one of that
+    range before the intended process listens on it.
 
-    :raises RuntimeError: when all ports of this process are taken.
+    :raises RuntimeError: if all ports of this process are taken.
     """
-    for port in islice(_ports, PORTS_A_RANGE):
+    for port in islice(_ports, PORTS_PER_RANGE):
         with socket.socket() as sock:
             try:
                 sock.bind((HOST, port))
@@ -310,23 +310,25 @@
 
 
 def reserved_ports() -> int:
-    """Return how many ports are kept for this process."""
+    """Return the number of ports reserved by this process."""
     return len(_reserved)
 
 
 def release_ports(since: int) -> None:
-    """Give ports back, once the processes that used them have ended.
+    """Release reserved ports after the processes that used them have ended.
 
-    :param since: how many were kept before these; a soak of many seeds would run out of them.
+    A soak test of many seeds would run out of ports otherwise.
+
+    :param since: number of reserved ports to keep, the oldest.
     """
     while len(_reserved) > since:
         _reserved.pop().close()
 
 
 def _reserve(port: int) -> None:
-    """Keep a port for this process; what it is used for is another protocol.
+    """Reserve a port by binding it for UDP, which does not keep TCP servers from using it.
 
-    :raises OSError: when another process has it.
+    :raises OSError: if another process has reserved it.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -338,16 +340,16 @@
 
 
 def digest(key: str) -> str:
-    """Return the SHA-256 of a key as it stands in the settings."""
+    """Return the SHA-256 of a key, as the settings contain it."""
     return sha256(key.encode()).hexdigest()
 
 
 def usual_tree(backends: dict[str, Any], services: dict[str, Any], layers: int) -> dict[str, Any]:
-    """Build a tree with two organisations, one account each and one operator.
+    """Build a settings document with two organisations, two accounts each, and two operators.
 
-    :param backends: as in the settings.
-    :param services: as in the settings.
-    :param layers: how many layers the model ``guide`` has.
+    :param backends: the backend servers, as in the settings.
+    :param services: the services, as in the settings.
+    :param layers: number of layers of the model ``guide``.
     :return: the document.
     """
     return {
@@ -374,6 +376,6 @@
 
 
 def backend(process: Process, first: int, last: int, **facts: object) -> dict[str, Any]:
-    """Describe an engine as the settings do."""
+    """Return the entry of an engine in the settings."""
     usual = {"hall": "plateau", "accelerator": "l4", "model": "guide", "version": "v1"}
     return {"address": process.address, "first": first, "last": last, **usual, **facts}
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -5,7 +5,7 @@
 
 from standins import world
 from standins.users import UsersSite
-from standins.world import PORTS_A_RANGE, free_port
+from standins.world import PORTS_PER_RANGE, free_port
 
 ALLOCATE_SAME_RANGE = """
 import sys
@@ -30,13 +30,13 @@
 
 def test_a_range_holds_enough_ports() -> None:
     assert len({free_port() for _ in range(20)}) == 20
-    assert PORTS_A_RANGE > 20
+    assert PORTS_PER_RANGE > 20
 
 
 EXHAUST_RANGE = """
 from itertools import cycle
 from standins import world
-world.PORTS_A_RANGE = 3
+world.PORTS_PER_RANGE = 3
 world._ports = cycle(range(world.FIRST_PORT + 500, world.FIRST_PORT + 503))
 for _ in range(4):
     world.free_port()
