--- a/benches/ablation.py
+++ b/benches/ablation.py
@@ -1,9 +1,9 @@
-"""What each mechanism of deciding is worth, on days of the users' bench.
+"""Ablation study: the effect of each mechanism on the scores of the users' benchmark.
 
 Run as ``python -m benches.ablation --bench PROGRAM --site FILE --scratch FOLDER``.
-Each variant is played from a copy of the checkout whose settings switch one
-mechanism off (:mod:`bayglade.mechanisms`); days, seeds and machine are the same
-for all. The journal entries of the plays are copied into this checkout.
+Each variant runs from a copy of the checkout whose settings disable one mechanism
+(:mod:`bayglade.mechanisms`); days, seeds and machine are the same for all variants.
+The journal entries of the runs are copied into this checkout.
 """
 
 import argparse
@@ -26,14 +26,14 @@
 TEMPLATE = Path("deploy/gateway.yaml")
 ALL_ON = "all on"
 DAYS = ("trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3")
-MAX_SECONDS = 900
-"""Longest time for which one day may be played."""
+RUN_TIMEOUT = 900
+"""Timeout for the run of one day."""
 
 FIGURES = re.compile(r"^(?P<day>\S+)\s+\d+/\d+\s+(?P<score>\S+)\s+(?P<worth>-?\d+\.\d+)", re.MULTILINE)
 
 
-class Play(msgspec.Struct, frozen=True):
-    """One day of a site with one variant."""
+class BenchRun(msgspec.Struct, frozen=True):
+    """A run of the benchmark: one day of a site with one variant."""
 
     variant: str
     site: Path
@@ -41,15 +41,15 @@
     seed: int | None
 
 
-class Worth(msgspec.Struct, frozen=True):
-    """What came of a play: its worth, and nothing when it was not played to its end."""
+class RunScore(msgspec.Struct, frozen=True):
+    """Outcome of a run: its score, or None if it did not finish."""
 
-    play: Play
+    play: BenchRun
     worth: float | None
 
 
 def copy_checkout(variant: str, scratch: Path) -> Path:
-    """Copy the files of this checkout, and switch a mechanism off in the copy.
+    """Copy the files of this checkout, and disable a mechanism in the copy.
 
     :param variant: the name of a mechanism, or ``all on``.
     :param scratch: the folder for copies.
@@ -63,7 +63,7 @@
             (folder / name).parent.mkdir(parents=True, exist_ok=True)
             shutil.copy2(ROOT / name, folder / name)
     if (ROOT / "target").is_dir():
-        # Libraries that the bench's build has installed once.
+        # Libraries that an earlier build of the benchmark has installed.
         shutil.copytree(ROOT / "target", folder / "target", dirs_exist_ok=True)
     if variant != ALL_ON:
         template = folder / TEMPLATE
@@ -76,34 +76,37 @@
     return folder
 
 
-def play(bench: Path, folder: Path, one: Play) -> Worth:
-    """Play one day; what the bench says is kept beside the copy."""
+def run_day(bench: Path, folder: Path, one: BenchRun) -> RunScore:
+    """Run one day, and save the output of the benchmark beside the copy."""
     command = [str(bench), "run", str(one.site), one.day]
     if one.seed is not None:
         command += ["--seed", str(one.seed)]
     command += ["--why", f"trial: ablation, {one.variant}"]
     done = subprocess.run(
-        command, cwd=folder, capture_output=True, text=True, timeout=MAX_SECONDS, check=False
+        command, cwd=folder, capture_output=True, text=True, timeout=RUN_TIMEOUT, check=False
     )
     log = folder.parent / f"{folder.name}-{one.site.stem}-{one.day}-{one.seed}.txt"
     log.write_text(done.stdout + done.stderr, encoding="utf-8")
     found = FIGURES.search(done.stdout)
     print(f"{one.variant:<14} {one.site.stem} {one.day} {one.seed} {found and found['worth']}", flush=True)
-    return Worth(one, float(found["worth"]) if found is not None else None)
+    return RunScore(one, float(found["worth"]) if found is not None else None)
 
 
-def table(results: Sequence[Worth], variants: Sequence[str], sites: Sequence[Path]) -> None:
-    """Print the mean worth of each variant a site, and how it differs from all on, play by play."""
+def print_scores(results: Sequence[RunScore], variants: Sequence[str], sites: Sequence[Path]) -> None:
+    """Print the mean score of each variant by site, and its mean loss against ``all on``.
+
+    The loss is averaged over pairs of runs with the same day and seed.
+    """
     rows = []
     for variant in variants:
         row = [variant]
         for site in sites:
-            mine = {(r.play.day, r.play.seed): r.worth for r in results if _is(r, variant, site)}
-            base = {(r.play.day, r.play.seed): r.worth for r in results if _is(r, ALL_ON, site)}
+            mine = {(r.play.day, r.play.seed): r.worth for r in results if _matches(r, variant, site)}
+            base = {(r.play.day, r.play.seed): r.worth for r in results if _matches(r, ALL_ON, site)}
             pairs = [(mine[k], base[k]) for k in mine if mine[k] is not None and base.get(k) is not None]
             lost = [b - m for m, b in pairs if m is not None and b is not None]
             worths = [w for w in mine.values() if w is not None]
-            row += [_mean(worths), _mean(lost), _error(lost), str(len(worths))]
+            row += [_mean(worths), _mean(lost), _standard_error(lost), str(len(worths))]
         rows.append(row)
     columns = ["without"]
     for site in sites:
@@ -112,13 +115,13 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Play all variants and print the table."""
+    """Run all variants and print the print_scores."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--bench", type=Path, required=True)
     parser.add_argument("--site", type=Path, action="append", required=True)
     parser.add_argument("--scratch", type=Path, required=True)
     parser.add_argument("--days", default=",".join(DAYS))
-    parser.add_argument("--seeds", default="", help="seeds beside the day's own, with commas")
+    parser.add_argument("--seeds", default="", help="further seeds besides the day's own, comma-separated")
     parser.add_argument("--without", default=",".join(m.value for m in Mechanism))
     parser.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) // 2))
     chosen = parser.parse_args(arguments)
@@ -127,25 +130,27 @@
     sites = [site.resolve() for site in chosen.site]
     folders = {variant: copy_checkout(variant, chosen.scratch.resolve()) for variant in variants}
     for folder in folders.values():
-        # Built one after the other: plays at once would build the same copy.
+        # Built in advance: concurrent runs of a variant would build the same copy at once.
         _run([str(chosen.bench.resolve()), "build"], folder)
-    plays = [
-        Play(variant, site, day, seed)
+    runs = [
+        BenchRun(variant, site, day, seed)
         for site in sites
         for day in chosen.days.split(",")
         for seed in seeds
         for variant in variants
     ]
     with ThreadPoolExecutor(chosen.jobs) as pool:
-        results = list(pool.map(lambda one: play(chosen.bench.resolve(), folders[one.variant], one), plays))
+        results = list(
+            pool.map(lambda one: run_day(chosen.bench.resolve(), folders[one.variant], one), runs)
+        )
     for folder in folders.values():
         for entry in (folder / "journal").glob("*.json"):
             shutil.copy2(entry, ROOT / "journal" / entry.name)
-    table(results, variants, sites)
+    print_scores(results, variants, sites)
     return 0
 
 
-def _is(result: Worth, variant: str, site: Path) -> bool:
+def _matches(result: RunScore, variant: str, site: Path) -> bool:
     return result.play.variant == variant and result.play.site == site
 
 
@@ -153,7 +158,7 @@
     return f"{statistics.fmean(figures):.3f}" if figures else "-"
 
 
-def _error(figures: Sequence[float]) -> str:
+def _standard_error(figures: Sequence[float]) -> str:
     return f"{statistics.stdev(figures) / len(figures) ** 0.5:.3f}" if len(figures) > 1 else "-"
 
 
--- a/benches/at_rest.py
+++ b/benches/at_rest.py
@@ -1,7 +1,7 @@
-"""What a gateway at rest costs: wake-ups, processor time and calls of the store.
+"""Cost of idle gateways: wake-ups, CPU time and calls to the store.
 
-``python -m benches.at_rest [daemons] [halls] [seconds]`` starts gateways before the
-stand-in of the users' platform, sends them nothing, and prints a line for each duty.
+``python -m benches.at_rest [daemons] [halls] [seconds]`` starts gateways on the
+stand-in for the users' platform, sends no requests, and prints a line for each duty.
 """
 
 import sys
@@ -15,21 +15,21 @@
 from standins.users import UsersSite
 
 SETTLE_SECONDS = 8.0
-"""Time in which layers are loaded and the daemons find each other."""
+"""Time for layers to be loaded and for daemons to find each other."""
 
 
-class Figures(msgspec.Struct):
-    """What one daemon has used up so far."""
+class ResourceUsage(msgspec.Struct):
+    """Resources that a process has used so far."""
 
     wakeups: int
     cpu_seconds: float
 
 
-def figures(pid: int) -> Figures:
-    """Read what a process has used up so far."""
+def read_usage(pid: int) -> ResourceUsage:
+    """Read the resources that a process has used so far."""
     process = psutil.Process(pid)
     times = process.cpu_times()
-    return Figures(process.num_ctx_switches().voluntary, times.user + times.system)
+    return ResourceUsage(process.num_ctx_switches().voluntary, times.user + times.system)
 
 
 def main() -> None:
@@ -41,9 +41,9 @@
         site.wait_placed()
         time.sleep(SETTLE_SECONDS)
         calls = sum(site.store.calls.values())
-        before = [figures(daemon.popen.pid) for daemon in started]
+        before = [read_usage(daemon.popen.pid) for daemon in started]
         time.sleep(seconds)
-        after = [figures(daemon.popen.pid) for daemon in started]
+        after = [read_usage(daemon.popen.pid) for daemon in started]
         calls = sum(site.store.calls.values()) - calls
     print(f"{daemons} daemons in {halls} halls, {seconds} s: {calls / seconds:.1f} calls a second")
     print("duty       daemons  wake-ups/s  CPU %")
--- a/benches/common.py
+++ b/benches/common.py
@@ -1,4 +1,4 @@
-"""What all measurements share: worlds of one shape, figures of a process, tables."""
+"""Helpers for all benchmarks: starting processes, resource usage and tables."""
 
 import sys
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 
 
 def start(world: World, engines: int, daemons: int, step_ms: float, slots: int) -> list[Process]:
-    """Start engines that each hold the whole model, and daemons before them.
+    """Start the platform, engines that each hold the whole model, and daemons that send to them.
 
-    :param world: an empty world.
-    :param engines: how many engines.
-    :param daemons: how many daemons.
-    :param step_ms: milliseconds a token.
+    :param world: where to start them; it must be empty.
+    :param engines: number of engines.
+    :param daemons: number of daemons.
+    :param step_ms: milliseconds per token.
     :param slots: requests that an engine runs at once.
-    :return: the daemons, ready.
+    :return: the daemons, which are ready.
     """
     world.start_platform()
     made = {
@@ -33,18 +33,18 @@
 
 
 def cpu_seconds(process: Process) -> float:
-    """Return the processor time of a process so far."""
+    """Return the CPU time that a process has used so far."""
     times = psutil.Process(process.popen.pid).cpu_times()
     return float(times.user + times.system)
 
 
 def megabytes(process: Process) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process, in MB."""
     return float(psutil.Process(process.popen.pid).memory_info().rss) / 1e6
 
 
 def print_table(title: str, headers: list[str], rows: list[list[Any]]) -> None:
-    """Print rows under headers."""
+    """Print a titled table with right-aligned columns."""
     print(f"\n## {title}")
     cells = [headers, *[[f"{c:.3g}" if isinstance(c, float) else str(c) for c in row] for row in rows]]
     widths = [max(len(row[i]) for row in cells) for i in range(len(headers))]
@@ -53,7 +53,7 @@
 
 
 def run(tables: dict[str, Callable[[], None]]) -> None:
-    """Run the tables that the arguments name, or all."""
+    """Run the tables named on the command line, or all."""
     print(f"measured {datetime.now():%Y-%m-%d}, {psutil.cpu_count()} cores")
     for name in sys.argv[1:] or list(tables):
         tables[name]()
--- a/benches/losses.py
+++ b/benches/losses.py
@@ -1,8 +1,8 @@
-"""Where a day's worth is lost: a table that adds up, by second and by cause, and a plot.
+"""Losses in the score ("worth") of a benchmark day: tables by second and by cause, and a plot.
 
-Run as ``python -m benches.losses REPORT LOG [--plot FILE]``, where REPORT is what the users' bench
-wrote with ``--report`` and LOG its output with ``--log all``. What became of requests is the bench's
-word; why answers were late, and why requests failed here, is read from the daemons' logs.
+Run as ``python -m benches.losses REPORT LOG [--plot FILE]``, where REPORT is the file that the users'
+benchmark wrote with ``--report`` and LOG its output with ``--log all``. The outcomes of requests come
+from the report; the causes of late answers and failures come from the daemons' logs.
 """
 
 import argparse
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from benches.account import Loss, Share, account, sum_by
+from benches.account import Loss, Outcomes, attribute_losses, sum_by
 from benches.common import print_table
 
 WINDOW_SECONDS = 2
-"""Length of the bench's windows."""
-REASON = 60
-"""Longest reason that is shown of an error, in characters."""
+"""Length of the windows in the report."""
+MAX_REASON_LENGTH = 60
+"""Length to which the reasons of errors are cut, in characters."""
 
 
-class Trouble(msgspec.Struct):
-    """Something that was done to the site."""
+class InjectedFault(msgspec.Struct):
+    """A fault that the benchmark injected."""
 
     at_s: float
     to_s: float
@@ -31,12 +31,12 @@
 
 
 class Report(msgspec.Struct):
-    """The parts of a report that are used here."""
+    """The fields of the report that are used here."""
 
-    classes: list[Share]
-    zones: list[Share]
-    windows: list[Share]
-    events: list[Trouble]
+    classes: list[Outcomes]
+    zones: list[Outcomes]
+    windows: list[Outcomes]
+    events: list[InjectedFault]
     worth: float = msgspec.field(name="G")
     parts: list[tuple[str, float, float]]
     """Name, weight and value."""
@@ -46,7 +46,7 @@
 
 
 class Line(msgspec.Struct):
-    """A log line of a daemon, as far as it is used here."""
+    """The fields of a daemon's log line that are used here."""
 
     event: str
     request: str = ""
@@ -57,7 +57,7 @@
 
 
 class Causes(msgspec.Struct):
-    """What the daemons say of each window; requests are counted in the window in which they ended."""
+    """Causes from the daemons' logs by window; requests count in the window in which they ended."""
 
     late_begin: Counter[int] = msgspec.field(default_factory=Counter)
     late_pause: Counter[int] = msgspec.field(default_factory=Counter)
@@ -66,23 +66,23 @@
 
 
 def read_log(path: Path) -> Iterator[tuple[float, Line]]:
-    """Read the daemons' lines out of the bench's output, with the day's seconds."""
+    """Read the daemons' log lines from the benchmark's output, with the second of the day of each."""
     for text in path.read_text(encoding="utf-8", errors="replace").splitlines():
         at, brace, rest = text.partition("{")
         if brace and at.split():
             try:
                 yield float(at.split()[0]), msgspec.json.decode("{" + rest, type=Line)
             except (ValueError, msgspec.DecodeError):
-                # Not a line of a daemon, or one that was cut off.
+                # Not a line of a daemon, or a truncated one.
                 continue
 
 
 def read_causes(path: Path, aim: float, gap_aim: float) -> Causes:
-    """Find out why answers were late or failed.
+    """Read why answers were late or failed.
 
-    :param path: the bench's output with the daemons' logs.
-    :param aim: seconds to the first event of a good answer.
-    :param gap_aim: longest pause of a good answer, in seconds.
+    :param path: the benchmark's output with the daemons' logs.
+    :param aim: target for the time to the first event, in seconds.
+    :param gap_aim: target for the longest gap between events, in seconds.
     """
     causes = Causes()
     begun: dict[str, int] = {}
@@ -103,12 +103,12 @@
 
 
 def _reason(error: str) -> str:
-    """Return the words of an error without the ids in it."""
-    return error.rpartition("outcome=")[2].rstrip(">")[:REASON]
+    """Return the text of an error without its ids."""
+    return error.rpartition("outcome=")[2].rstrip(">")[:MAX_REASON_LENGTH]
 
 
 def print_losses(report: Report, causes: Causes) -> None:
-    """Print what became of requests by window, class and hall, then the daemons' reasons."""
+    """Print the outcomes of requests by window, class and hall, then the causes from the logs."""
     header = ["of", "asked", "in aim", "late", "refused", "failed", "not owed", "credit"]
     for title, shares in (("second", report.windows), ("class", report.classes), ("hall", report.zones)):
         counts = [[s.n, s.in_aim, s.late, s.refused, s.failed, s.not_owed] for s in shares]
@@ -123,7 +123,7 @@
         **{reason: causes.errors[reason] for reason in reasons},
     }
     print_table(
-        "what daemons say, by the second at which requests ended",
+        "causes from the daemons' logs, by the second at which requests ended",
         ["cause", "all", "second:count"],
         [
             [name, counts.total(), " ".join(f"{w}:{counts[w]}" for w in windows if counts[w])]
@@ -132,8 +132,8 @@
     )
 
 
-def print_account(report: Report, causes: Causes) -> None:
-    """Print where the day's worth was lost, by cause and by second."""
+def print_attribution(report: Report, causes: Causes) -> None:
+    """Print the losses of the day by cause, and by second or class."""
 
     def late(where: str) -> dict[str, float]:
         if not where.isdigit():
@@ -145,7 +145,7 @@
             if counts[window]
         }
 
-    lines = account(report.parts, report.prices, report.windows, report.classes, late)
+    lines = attribute_losses(report.parts, report.prices, report.windows, report.classes, late)
     names = [name for name, _, _ in report.parts] + ["price"]
     _print_sums("lost, by cause", lines, names, lambda line: line.cause)
     _print_sums("lost, by second or class", lines, names, lambda line: line.where)
@@ -163,7 +163,7 @@
 
 
 def plot(report: Report, causes: Causes, path: Path) -> None:
-    """Draw what became of requests by second, with the troubles marked."""
+    """Plot the outcomes of requests by second, with the injected faults marked."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -183,10 +183,10 @@
         axes.bar(at, heights, WINDOW_SECONDS * 0.9, bottom, align="edge", color=colour, label=name)
         bottom = [low + height for low, height in zip(bottom, heights, strict=True)]
     axes.plot(at, [causes.in_flight[w] for w in at], color="black", label="in flight, streams")
-    for number, trouble in enumerate(report.events):
+    for number, fault in enumerate(report.events):
         level = max(bottom) * (1.03 + 0.045 * number)
-        axes.plot([trouble.at_s, trouble.to_s], [level, level], color="slateblue")
-        axes.text(trouble.at_s, level, f"{trouble.kind} {trouble.what}"[:50], fontsize=6, va="bottom")
+        axes.plot([fault.at_s, fault.to_s], [level, level], color="slateblue")
+        axes.text(fault.at_s, level, f"{fault.kind} {fault.what}"[:50], fontsize=6, va="bottom")
     axes.set_xlabel("second")
     axes.set_ylabel(f"requests in {WINDOW_SECONDS} s")
     axes.legend(loc="center right", fontsize=7)
@@ -194,18 +194,20 @@
 
 
 def main() -> None:
-    """Run from the command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(prog="benches.losses", description=__doc__)
-    parser.add_argument("report", type=Path, help="what the bench wrote with --report")
-    parser.add_argument("log", type=Path, help="the bench's output with --log all")
-    parser.add_argument("--aim", type=float, default=0.5, help="seconds to the first event (0.5)")
-    parser.add_argument("--gap-aim", type=float, default=0.25, help="longest good pause (0.25)")
-    parser.add_argument("--plot", type=Path, help="draw into this file, PNG or SVG")
+    parser.add_argument("report", type=Path, help="file that the benchmark wrote with --report")
+    parser.add_argument("log", type=Path, help="output of the benchmark with --log all")
+    parser.add_argument("--aim", type=float, default=0.5, help="target seconds to the first event (0.5)")
+    parser.add_argument(
+        "--gap-aim", type=float, default=0.25, help="target for the longest gap, in seconds (0.25)"
+    )
+    parser.add_argument("--plot", type=Path, help="write a plot to this file, PNG or SVG")
     arguments = parser.parse_args()
     report = msgspec.json.decode(arguments.report.read_bytes(), type=Report)
     causes = read_causes(arguments.log, arguments.aim, arguments.gap_aim)
     print_losses(report, causes)
-    print_account(report, causes)
+    print_attribution(report, causes)
     if arguments.plot is not None:
         plot(report, causes, arguments.plot)
 
--- a/benches/passing.py
+++ b/benches/passing.py
@@ -1,8 +1,8 @@
-"""How long an event of a stream is on its way through a gateway.
+"""Latency that a gateway adds to the events of a stream.
 
-Servers of the stand-in write the time into each event; both clocks are the
-machine's monotonic one. ``python -m benches.passing [streams a second] [seconds]``
-prints median and 99th percentile straight from a server and through a gateway.
+The stand-in servers write the time into each event; reader and servers use the
+monotonic clock of one machine. ``python -m benches.passing [streams a second] [seconds]``
+prints median and 99th percentile, directly from a server and through a gateway.
 """
 
 import socket
@@ -21,8 +21,8 @@
 READ_BYTES = 64 * 1024
 
 
-def record(address: str, data: bytes, found: HdrHistogram, lock: threading.Lock) -> None:
-    """Read one stream and record the age of each event."""
+def record_ages(address: str, data: bytes, found: HdrHistogram, lock: threading.Lock) -> None:
+    """Read one stream and record_ages the age of each event on arrival."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=10) as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -43,7 +43,7 @@
     found, lock = HdrHistogram(1, MAX_MICROSECONDS, DIGITS), threading.Lock()
     threads = []
     for data in requests:
-        thread = threading.Thread(target=record, args=(address, data, found, lock))
+        thread = threading.Thread(target=record_ages, args=(address, data, found, lock))
         thread.start()
         threads.append(thread)
         time.sleep(1 / rate)
@@ -53,14 +53,14 @@
 
 
 def direct_request(site: UsersSite, head: Replica, number: int) -> bytes:
-    """Write a request as a gateway would, for one server that runs the path of another stream."""
+    """Return a request as a gateway sends it to the first server of a path that another stream took."""
     path = next(iter(head.paths.values()))
     text = ",".join(f"{address}={first}-{last}" for address, first, last in path)
     return request_bytes("/stream/x", f"direct-{number}", Path=text, X_Expect_Instance=head.id)
 
 
-def show(name: str, found: HdrHistogram) -> None:
-    """Print a line of the result."""
+def print_percentiles(name: str, found: HdrHistogram) -> None:
+    """Print a line of results."""
     p50, p99 = (found.get_value_at_percentile(p) / 1000 for p in (50.0, 99.0))
     print(f"{name:<10} events {found.get_total_count():>6}  p50 {p50:.2f} ms  p99 {p99:.2f} ms")
 
@@ -75,9 +75,11 @@
         site.wait_placed()
         wait_for("streams are served", lambda: ask(daemon.callers, "/stream/x").events)
         head = next(replica for replica in site.of(MODEL) if replica.paths)
-        show("direct", measure(head.address, [direct_request(site, head, n) for n in range(count)], rate))
+        print_percentiles(
+            "direct", measure(head.address, [direct_request(site, head, n) for n in range(count)], rate)
+        )
         through = [request_bytes("/stream/x", f"through-{n}") for n in range(count)]
-        show("gateway", measure(daemon.callers, through, rate))
+        print_percentiles("gateway", measure(daemon.callers, through, rate))
 
 
 if __name__ == "__main__":
--- a/benches/paths.py
+++ b/benches/paths.py
@@ -1,4 +1,4 @@
-"""What the search for a path costs. Run as ``python -m benches.paths``."""
+"""CPU time of the search for a path. Run as ``python -m benches.paths``."""
 
 import time
 from collections.abc import Callable
@@ -11,16 +11,16 @@
 RUNS = 100
 
 
-def milliseconds(act: Callable[[], object]) -> float:
-    """Return the processor time of a call, the mean of many."""
+def milliseconds(search: Callable[[], object]) -> float:
+    """Return the mean CPU time of a call, in milliseconds."""
     began = time.process_time()
     for _ in range(RUNS):
-        act()
+        search()
     return (time.process_time() - began) / RUNS * 1000
 
 
 def main() -> None:
-    """Measure halls of growing size, and a way over three halls."""
+    """Measure single data halls of growing size, and a path across three."""
     rows: list[list[object]] = []
     for big, middle, small in ((1, 8, 4), (4, 24, 9), (12, 70, 30)):
         site = Site("a", a={"big": big, "middle": middle, "small": small})
--- a/benches/policies.py
+++ b/benches/policies.py
@@ -1,6 +1,6 @@
-"""Comparisons of policies through real daemons: shares, overload, recovery, routing.
+"""Behaviour of real daemons under load: group shares, floods, overload, limits and recovery.
 
-Run as ``python -m benches.policies [NAME ...]``. Arrivals come from fixed seeds.
+Run as ``python -m benches.policies [NAME ...]``. Arrivals are generated from fixed seeds.
 """
 
 import os
@@ -29,16 +29,16 @@
 SLOTS = 8
 SECONDS = 10
 RECOVERY_SECONDS = 6
-LOAD_PART = 0.4
+LOAD_FRACTION = 0.4
 
 
 def capacity(engines: int) -> float:
-    """Return the requests a second that so many stand-in engines can answer at most."""
+    """Return the maximum throughput of a number of stand-in engines, in requests a second."""
     return engines * SLOTS / (TOKENS * STEP_MS / 1000)
 
 
 def build(world: World, engines: int, daemons: int) -> list[Process]:
-    """Start a world whose daemons have asked every engine for its slots once."""
+    """Start engines and daemons, and wait until the daemons have polled every engine for its slots."""
     started = start(world, engines, daemons, STEP_MS, SLOTS)
     time.sleep(engines / 2.0 + 1.0)
     return started
@@ -47,7 +47,7 @@
 def load(
     world: World, addresses: list[str], key: str, rate: float, seconds: float = SECONDS, **options: Any
 ) -> dict[str, Any]:
-    """Run the load tool as a process of its own.
+    """Run the load generator in a process of its own.
 
     :param options: ``deadline`` and ``seed``.
     :return: its result.
@@ -57,23 +57,23 @@
         arguments += ["-a", address]
     for name, value in options.items():
         arguments += [f"--{name}", str(value)]
-    code, said = world.cli(*arguments, key=key)
-    assert code == 0, said
-    found: dict[str, Any] = msgspec.json.decode(said.splitlines()[-1])
+    code, output = world.cli(*arguments, key=key)
+    assert code == 0, output
+    found: dict[str, Any] = msgspec.json.decode(output.splitlines()[-1])
     return found
 
 
-def together(
-    world: World, asks: list[tuple[list[str], str, float, dict[str, Any]]]
+def run_loads(
+    world: World, requests: list[tuple[list[str], str, float, dict[str, Any]]]
 ) -> list[dict[str, Any]]:
-    """Run several loads at once: addresses, key, rate and options of each."""
-    results: list[dict[str, Any]] = [{} for _ in asks]
+    """Run several loads at once, each given as addresses, key, rate and options."""
+    results: list[dict[str, Any]] = [{} for _ in requests]
 
     def run_one(place: int) -> None:
-        addresses, key, rate, options = asks[place]
+        addresses, key, rate, options = requests[place]
         results[place] = load(world, addresses, key, rate, **options)
 
-    threads = [threading.Thread(target=run_one, args=(place,)) for place in range(len(asks))]
+    threads = [threading.Thread(target=run_one, args=(place,)) for place in range(len(requests))]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -82,7 +82,7 @@
 
 
 def shares() -> None:
-    """Measure the shares that groups get when all want more, through one daemon and several."""
+    """Measure the shares of groups under overload, entering through one daemon or several."""
     rows = []
     for name, routes in (
         ("both through both daemons", ([0, 1], [0, 1])),
@@ -92,11 +92,11 @@
         with World() as world:
             daemons = build(world, 2, 2)
             full = capacity(2)
-            asks = [
+            requests = [
                 ([daemons[i].address for i in routes[0]], CALLER_KEY, full * 1.5, {"deadline": 3}),
                 ([daemons[i].address for i in routes[1]], "plateau-key", full * 1.5, {"deadline": 3}),
             ]
-            first, second = together(world, asks)
+            first, second = run_loads(world, requests)
             total = first["good"] + second["good"]
             rows.append(
                 [
@@ -109,21 +109,21 @@
                 ]
             )
     headers = ["entering", "khangai %", "its share %", "good % of bound", "khangai p95 ms", "kines p95 ms"]
-    print_table("Shares 2:1, each asks 1.5 times the bound", headers, rows)
+    print_table("Shares 2:1, each group offers 1.5 times the bound", headers, rows)
 
 
 def flood() -> None:
-    """Measure what a flood of one account does to another's latency."""
+    """Measure how a flood from one account affects the latency of another."""
     rows = []
     for flooding in (False, True):
         with World() as world:
             daemons = build(world, 2, 2)
             addresses = [daemon.address for daemon in daemons]
             full = capacity(2)
-            asks = [(addresses, "plateau-key", full * 0.2, {"deadline": 3})]
+            requests = [(addresses, "plateau-key", full * 0.2, {"deadline": 3})]
             if flooding:
-                asks.append((addresses, CALLER_KEY, full * 4, {"deadline": 3, "seed": 2}))
-            found = together(world, asks)[0]
+                requests.append((addresses, CALLER_KEY, full * 4, {"deadline": 3, "seed": 2}))
+            found = run_loads(world, requests)[0]
             rows.append(
                 [
                     "flood" if flooding else "calm",
@@ -139,7 +139,7 @@
 
 
 def overload() -> None:
-    """Measure goodput from half the bound to five times it."""
+    """Measure goodput from half the capacity to five times it."""
     rows = []
     for times in (0.5, 0.8, 0.95, 1.1, 2.0, 5.0):
         with World() as world:
@@ -173,7 +173,7 @@
 
 
 def overshoot() -> None:
-    """Measure how far a limit of a group is overshot over several daemons."""
+    """Measure by how much a group exceeds its rate limit through several daemons."""
     allowed, rows = 20.0, []
     for count, entering in ((2, 2), (2, 1), (8, 8), (8, 1)):
         with World() as world:
@@ -195,10 +195,10 @@
 
 
 def recovery(runs: int = 10) -> None:
-    """Measure the time from a fault until answers are good again, at half load."""
+    """Measure the time from a fault until requests succeed again, under partial load."""
     rows = []
     for name in ("engine killed", "engine frozen", "2 of 4 engines killed", "daemon killed"):
-        found = [_recover(name, seed) for seed in range(runs)]
+        found = [_measure_recovery(name, seed) for seed in range(runs)]
         first = [one[0] for one in found]
         steady = [one[1] for one in found]
         rows.append(
@@ -223,16 +223,18 @@
         "failed in flight",
         "of sent",
     ]
-    title = f"Recovery, 4 engines, 2 daemons, {LOAD_PART:.0%} load, streams of {TOKENS * STEP_MS / 1000} s"
+    title = (
+        f"Recovery, 4 engines, 2 daemons, {LOAD_FRACTION:.0%} load, streams of {TOKENS * STEP_MS / 1000} s"
+    )
     print_table(title, headers, rows)
 
 
-def _recover(name: str, seed: int) -> tuple[float, float, int, int]:
-    """Cause one fault under load; first good and steady good after it, failures, sent."""
+def _measure_recovery(name: str, seed: int) -> tuple[float, float, int, int]:
+    """Inject a fault; return seconds to the first and to steady success, failures and requests."""
     with World() as world:
         daemons = build(world, 4, 2)
         balancer = _balancer(world, daemons)
-        rate = capacity(4) * LOAD_PART
+        rate = capacity(4) * LOAD_FRACTION
         trace = world.folder / "trace"
         arguments = [
             "load",
@@ -252,9 +254,9 @@
         )
         wait_for("load runs", lambda: len(world.record("e0")) > rate * 2)
         at = time.monotonic()
-        _cause(world, name)
+        _inject_fault(world, name)
         sender.wait(60)
-        return _judge(trace.read_text(), at)
+        return _recovery_times(trace.read_text(), at)
 
 
 def _balancer(world: World, daemons: list[Process]) -> str:
@@ -265,7 +267,7 @@
     return address
 
 
-def _cause(world: World, name: str) -> None:
+def _inject_fault(world: World, name: str) -> None:
     if name == "engine killed":
         world.processes["e0"].kill()
     elif name == "engine frozen":
@@ -277,21 +279,21 @@
         world.processes["e1"].kill()
 
 
-def _judge(trace: str, at: float) -> tuple[float, float, int, int]:
-    """Read the trace: due time, end time and outcome of each request."""
+def _recovery_times(trace: str, at: float) -> tuple[float, float, int, int]:
+    """Compute the results from a trace with due time, end time and outcome of each request."""
     rows = [line.split() for line in trace.splitlines()]
-    asks = sorted((float(due), float(end), word == "good") for due, end, word in rows)
-    after = [ask for ask in asks if ask[0] >= at]
+    requests = sorted((float(due), float(end), word == "good") for due, end, word in rows)
+    after = [request for request in requests if request[0] >= at]
     first = next((end - at for _, end, good in after if good), float("inf"))
-    failed = [due for due, _, good in asks if not good]
-    # From here on at least 99 in 100 of those that are asked are answered well.
+    failed = [due for due, _, good in requests if not good]
+    # Steady success starts where at least 99 % of the later requests succeed.
     bad_after = sorted(due for due in failed if due >= at)
     steady = 0.0
     for place, due in enumerate(bad_after):
-        rest = [ask for ask in after if ask[0] >= due]
+        rest = [request for request in after if request[0] >= due]
         if len(bad_after) - place > len(rest) / 100:
             steady = due - at
-    return first, max(steady, first), len(failed), len(asks)
+    return first, max(steady, first), len(failed), len(requests)
 
 
 TABLES = {
--- a/benches/restored.py
+++ b/benches/restored.py
@@ -1,7 +1,7 @@
-"""What it costs that the store comes back from an older copy. Run as ``python -m benches.restored``.
+"""Cost of a restore of the store from an older copy. Run as ``python -m benches.restored``.
 
-Messages come from the product's feeds and fan-out in virtual time (tests/fleets.py); bytes and
-processor time from packing whole tables as one daemon does for those that ask it.
+Messages are counted with the real feeds and fan-out in virtual time (tests/fleets.py); bytes and
+CPU time come from packing whole tables, as a daemon does for the daemons that poll it.
 """
 
 import random
@@ -21,21 +21,21 @@
 from benches.common import print_table
 from standins.users import KEY, configuration
 
-# Imported by name: these modules are not checked for types as strictly.
+# Imported by name, because these modules are not type-checked as strictly.
 virtual_time = import_module("tests.virtual_time")
 fleets = import_module("tests.fleets")
 server_rows = import_module("tests.server_rows")
 
 SIZES = ((64, 3), (195, 5), (440, 11))
-"""Daemons and halls."""
+"""Numbers of daemons and data halls."""
 ROUTES, SERVERS = 2000, 1300
 SECOND = 1.0
 
 
-def whole_updates(daemons: int, halls: int) -> tuple[int, int, int]:
-    """Return what goes out in the second after a return.
+def count_messages(daemons: int, halls: int) -> tuple[int, int, int]:
+    """Count the messages in the second after a restore.
 
-    :return: calls of the store, whole tables of all daemons, and whole tables of the busiest one.
+    :return: calls to the store, whole tables sent by all daemons, and those sent by the busiest daemon.
     """
     sent: Counter[MemberId] = Counter()
     fleet = fleets.Fleet(daemons, halls, 1)
@@ -60,7 +60,7 @@
     return fleet.store.calls.total() - calls, sent.total(), max(sent.values(), default=0)
 
 
-def tables() -> list[list[object]]:
+def measure_packing() -> list[list[object]]:
     """Measure packing and unpacking of whole tables."""
     rng = random.Random(1)
     document = configuration(1, (KEY,), {})
@@ -83,7 +83,7 @@
 
 
 def _row(rng: random.Random) -> dict[str, Any]:
-    """Return a row of a server with an address and counts of its own."""
+    """Return a server row with a random address and random counters."""
     address = f"10.{rng.randrange(256)}.{rng.randrange(256)}.{rng.randrange(256)}:{rng.randrange(65536)}"
     row: dict[str, Any] = server_rows.server_row(
         addr=address, seq=rng.randrange(10_000), born=server_rows.BORN + rng.randrange(10**9)
@@ -96,10 +96,10 @@
     for module in (epochs, fanout, feeds, readers):
         module.now = virtual_time.now  # type: ignore[attr-defined]
     sizes = [tuple(map(int, sys.argv[1:3]))] if len(sys.argv) > 2 else SIZES
-    played = [[d, h, *virtual_time.run_virtually(lambda d=d, h=h: whole_updates(d, h))] for d, h in sizes]
-    names = ["daemons", "halls", "calls of the store", "whole tables sent", "by the busiest"]
-    print_table("The second after a return", names, played)
-    print_table("Whole tables", ["table", "bytes packed", "ms to pack", "ms to unpack"], tables())
+    results = [[d, h, *virtual_time.run_virtually(lambda d=d, h=h: count_messages(d, h))] for d, h in sizes]
+    names = ["daemons", "halls", "calls to the store", "whole tables sent", "by the busiest"]
+    print_table("The second after a restore", names, results)
+    print_table("Whole tables", ["table", "bytes packed", "ms to pack", "ms to unpack"], measure_packing())
 
 
 if __name__ == "__main__":
--- a/benches/sharing.py
+++ b/benches/sharing.py
@@ -1,6 +1,6 @@
-"""Ways of sharing a server's rate limit among daemons, in simulated time.
+"""Policies for sharing a server's rate limit among daemons, in a simulation.
 
-Run as ``python -m benches.sharing``. Nothing depends on the machine: arrivals come from fixed seeds.
+Run as ``python -m benches.sharing``. Results do not depend on the machine; arrivals use fixed seeds.
 """
 
 from benches.common import print_table, run
@@ -11,8 +11,8 @@
 SECONDS = 60.0
 
 
-def ways(churn: bool) -> None:
-    """Print the worst window and the used part of the limit, for each way and load."""
+def compare_policies(churn: bool) -> None:
+    """Print the worst window and the used fraction of the limit, for each policy and load."""
     rows = []
     for daemons in DAEMONS:
         for rate in RATES:
@@ -25,4 +25,4 @@
 
 
 if __name__ == "__main__":
-    run({"steady": lambda: ways(False), "replaced": lambda: ways(True)})
+    run({"steady": lambda: compare_policies(False), "replaced": lambda: compare_policies(True)})
--- a/benches/slopes.py
+++ b/benches/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes for ``docs/CAPACITY.md``: what each part costs as its size grows.
+"""Costs by size for ``docs/CAPACITY.md``: how the cost of each part grows.
 
 Run as ``python -m benches.slopes [NAME ...]``; each name is one table. All load
-stays on loopback and every process is ended.
+stays on the loopback interface, and every process is ended.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 def daemons_slope(counts: tuple[int, ...] = (1, 2, 8, 16, 32, 64)) -> None:
-    """Measure idle daemons, the spread of a change and the loss of a daemon, by their number."""
+    """Measure idle cost, propagation of a change and detection of a lost daemon, by number of daemons."""
     rows = []
     for count in counts:
         with World() as world:
@@ -74,13 +74,13 @@
     degree = len(neighbours(names[0], names))
     world.wait_up()
     for daemon in daemons:
-        wait_for("neighbours live", lambda d=daemon: _live(d) >= degree, 60)
-    out_before, in_before = _bytes(daemons[0])
+        wait_for("neighbours live", lambda d=daemon: _count_live(d) >= degree, 60)
+    out_before, in_before = _peer_bytes(daemons[0])
     before = [cpu_seconds(daemon) for daemon in daemons]
     time.sleep(IDLE_SECONDS)
     cpu = [(cpu_seconds(d) - b) / IDLE_SECONDS * 100 for d, b in zip(daemons, before, strict=True)]
-    out_after, in_after = _bytes(daemons[0])
-    spread = sorted(_spread(world, daemons, revision) for revision in range(2, 7))
+    out_after, in_after = _peer_bytes(daemons[0])
+    propagation = sorted(_propagation_seconds(world, daemons, revision) for revision in range(2, 7))
     return [
         count,
         degree,
@@ -89,27 +89,27 @@
         megabytes(daemons[0]),
         (out_after - out_before) / IDLE_SECONDS,
         (in_after - in_before) / IDLE_SECONDS,
-        spread[2],
-        spread[-1],
-        _notice(daemons) if count > 1 else 0.0,
+        propagation[2],
+        propagation[-1],
+        _detection_seconds(daemons) if count > 1 else 0.0,
     ]
 
 
-def _live(daemon: Process) -> int:
+def _count_live(daemon: Process) -> int:
     try:
         return sum(m.live for m in Remote(daemon.address, OPERATOR_KEY).status().members)
     except BaygladeError:
-        # It has no settings yet, so it knows no operator.
+        # The daemon has no settings yet, so it rejects the operator's key.
         return 0
 
 
-def _bytes(daemon: Process) -> tuple[int, int]:
+def _peer_bytes(daemon: Process) -> tuple[int, int]:
     status = Remote(daemon.address, OPERATOR_KEY).status()
     return status.entries_bytes_out, status.entries_bytes_in
 
 
-def _spread(world: World, daemons: list[Process], revision: int) -> float:
-    """Return the seconds from asking for a change until the last daemon logged it."""
+def _propagation_seconds(world: World, daemons: list[Process], revision: int) -> float:
+    """Return the seconds from the request for a change until the last daemon logged it."""
 
     def edit(document: dict[str, Any]) -> None:
         document["root"]["groups"]["khangai"]["share"] = float(revision)
@@ -119,7 +119,7 @@
     mark = f"settings in force revision={revision}"
 
     def logged() -> list[str] | None:
-        lines = [_line(daemon, mark) for daemon in daemons]
+        lines = [_find_line(daemon, mark) for daemon in daemons]
         return lines if all(lines) else None  # type: ignore[return-value]
 
     lines = wait_for("the change is in force", logged, 60) or []
@@ -128,13 +128,13 @@
     return (last - asked).total_seconds()
 
 
-def _line(daemon: Process, mark: str) -> str | None:
+def _find_line(daemon: Process, mark: str) -> str | None:
     lines = [line for line in daemon.log.read_text().splitlines() if line.endswith(mark)]
     return lines[0] if lines else None
 
 
-def _notice(daemons: list[Process]) -> float:
-    """Return the seconds until a neighbour says that a killed daemon is silent."""
+def _detection_seconds(daemons: list[Process]) -> float:
+    """Return the seconds until a neighbour reports a killed daemon as not live."""
     victim, other = daemons[1], daemons[0]
     victim.kill()
     killed = time.monotonic()
@@ -148,7 +148,7 @@
 
 
 def requests_slope() -> None:
-    """Measure one daemon's processor time by requests and by tokens a second."""
+    """Measure the CPU time of one daemon, by requests and by tokens a second."""
     rows, points = [], []
     with World() as world:
         (daemon,) = start(world, engines=4, daemons=1, step_ms=10, slots=256)
@@ -167,10 +167,10 @@
     before = cpu_seconds(daemon)
     started = time.monotonic()
     arguments = ["load", "-a", daemon.address, "-r", str(rate), "-t", str(tokens)]
-    code, said = world.cli(*arguments, "-s", str(LOAD_SECONDS), "--json", key=CALLER_KEY)
-    assert code == 0, said
+    code, output = world.cli(*arguments, "-s", str(LOAD_SECONDS), "--json", key=CALLER_KEY)
+    assert code == 0, output
     elapsed = time.monotonic() - started
-    found = msgspec.json.decode(said.splitlines()[-1])
+    found = msgspec.json.decode(output.splitlines()[-1])
     assert not found["errors"], found["errors"]
     cpu = cpu_seconds(daemon) - before
     return [
@@ -186,11 +186,11 @@
 
 
 def streams_slope() -> None:
-    """Measure a daemon's memory by the streams that are open through it."""
+    """Measure the memory of a daemon, by number of open streams."""
     rows = []
     with World() as world:
         (daemon,) = start(world, engines=2, daemons=1, step_ms=500, slots=400)
-        # The daemon has asked both engines for their slots.
+        # True once the daemon has polled both engines for their slots.
         wait_for("limits follow slots", lambda: _least_limit(daemon) >= 400)
         for count in (0, 100, 200, 400, 700):
             rows.append([count, *_stream_memory(world, daemon, count)])
@@ -203,7 +203,7 @@
 
 
 def _stream_memory(world: World, daemon: Process, count: int) -> list[Any]:
-    """Open streams within two seconds and look when all are open."""
+    """Open streams within two seconds, and measure the daemon while they are open."""
     if not count:
         return [0, megabytes(daemon), 0.0, 0.0]
     arguments = ["load", "-a", daemon.address, "-r", str(count / 2), "-s", "2", "-t", "24", "-d", "60"]
@@ -220,7 +220,7 @@
 
 
 def tree_slope() -> None:
-    """Measure the settings tree by its size: bytes, memory, time to take in a revision."""
+    """Measure bytes, memory and the time to apply a revision, by size of the settings tree."""
     rows = []
     for backends, accounts, models in ((40, 10, 2), (325, 75, 6), (650, 150, 9), (1300, 300, 18)):
         rows.append(_tree_row(backends, accounts, models))
@@ -240,7 +240,7 @@
 
 
 def big_tree(backends: int, accounts: int, models: int) -> dict[str, Any]:
-    """Build a tree of a size, the layers of each model in four stages."""
+    """Build a settings tree of a given size, with the layers of each model in four stages."""
     tree = usual_tree({}, {}, 80)
     tree["models"] = {f"m{n}": {"layers": 80, "version": "v1"} for n in range(models)}
     for n in range(backends):
@@ -266,8 +266,8 @@
     rng = random.Random(1)
     tracemalloc.start()
     tree = settings.decode(document)
-    held, directory = Backends(rng), Directory(tree)
-    held.sync(tree)
+    backend_states, directory = Backends(rng), Directory(tree)
+    backend_states.sync(tree)
     state, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     changed = msgspec.json.decode(document)
@@ -275,8 +275,8 @@
     before = msgspec.json.decode(document)
     patch = msgspec.json.encode(patches.diff(before, changed))
 
-    def take_in() -> None:
-        held.sync(tree)
+    def apply_revision() -> None:
+        backend_states.sync(tree)
         Directory(tree)
 
     def one_change() -> None:
@@ -285,7 +285,7 @@
         settings.digest_of(content)
         settings.decode(content)
 
-    states = held.of_model(ModelName("m0"), tree.models[ModelName("m0")].version)
+    states = backend_states.of_model(ModelName("m0"), tree.models[ModelName("m0")].version)
 
     def route() -> None:
         assert choose_route(states, 80, states[0].facts.hall, lambda a, b: 0.0 if a == b else 0.001, rng)
@@ -297,24 +297,24 @@
         len(document) / 1000,
         state / 1000,
         _milliseconds(lambda: settings.decode(document)),
-        _milliseconds(take_in),
+        _milliseconds(apply_revision),
         _milliseconds(one_change),
         len(patch),
         _milliseconds(route),
     ]
 
 
-def _milliseconds(work: Any) -> float:
+def _milliseconds(function: Any) -> float:
     times = []
     for _ in range(REPEATS):
         started = time.perf_counter()
-        work()
+        function()
         times.append(time.perf_counter() - started)
     return float(np.median(times)) * 1000
 
 
 def heartbeat_slope() -> None:
-    """Measure a heartbeat by the groups that it tells of, and the state kept of a neighbour."""
+    """Measure heartbeats and the state kept for a neighbour, by number of groups."""
     rows = []
     sealer = entries_wire.Sealer(b"k" * 32)
     for groups in (0, 8, 16, 32, 64):
@@ -322,19 +322,19 @@
         for n in range(groups):
             usage.charge(GroupPath(f"khangai/airport-{n:03}"), 1000.0 + n)
             usage.ask(GroupPath(f"khangai/airport-{n:03}"), 1000.0 + n)
-        beat = _heartbeat(usage)
+        heartbeat = _heartbeat(usage)
         tracemalloc.start()
         heard = Usage()
-        heard.hear(MemberId("d1"), beat.usage)
+        heard.hear(MemberId("d1"), heartbeat.usage)
         state, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         rows.append(
             [
                 groups,
-                len(sealer.seal(beat)),
+                len(sealer.seal(heartbeat)),
                 state,
-                _milliseconds(partial(sealer.seal, beat)),
-                _milliseconds(partial(heard.hear, MemberId("d1"), beat.usage)),
+                _milliseconds(partial(sealer.seal, heartbeat)),
+                _milliseconds(partial(heard.hear, MemberId("d1"), heartbeat.usage)),
             ]
         )
     print_table("Heartbeats", ["groups", "bytes", "state bytes", "seal ms", "hear ms"], rows)
@@ -351,7 +351,7 @@
 
 
 def claims_slope() -> None:
-    """Measure claims a second against a table that takes 100 writes a second."""
+    """Measure the throughput of claims against a table limited to 100 writes a second."""
     rows = []
     with World() as world:
         world.start_platform()
@@ -384,9 +384,9 @@
     arguments = ["load", "-r", str(rate), "-s", str(LOAD_SECONDS), "--service", "s/run/x", "--json"]
     for daemon in daemons:
         arguments += ["-a", daemon.address]
-    code, said = world.cli(*arguments, "--seed", str(rate), key=CALLER_KEY)
-    assert code == 0, said
-    found = msgspec.json.decode(said.splitlines()[-1])
+    code, output = world.cli(*arguments, "--seed", str(rate), key=CALLER_KEY)
+    assert code == 0, output
+    found = msgspec.json.decode(output.splitlines()[-1])
     elapsed = time.monotonic() - started
     after = world.get(world.platform, "/standin/counts")
     writes = after["writes"] - before["writes"]
@@ -397,7 +397,7 @@
         found["whole"]["p50"],
         found["whole"]["p95"],
         writes / found["seconds"],
-        # A claim and its kept answer are two rows each.
+        # Each good request writes two rows: its claim and the stored answer.
         2 * found["good"] / max(1, writes),
         (cpu_seconds(daemons[0]) - cpu) / elapsed,
     ]
--- a/benches/startup.py
+++ b/benches/startup.py
@@ -1,4 +1,4 @@
-"""What a gateway imports before it serves. Run as ``python -m benches.startup``."""
+"""Import time of a gateway. Run as ``python -m benches.startup``."""
 
 import os
 import subprocess
@@ -16,19 +16,19 @@
 
 
 def milliseconds(code: str) -> float:
-    """Return the least time of a process that runs some code and ends."""
+    """Return the shortest time in which a new process runs some code and exits."""
     environment = {**os.environ, "EVENTLET_NO_GREENDNS": "yes", "PYTHONDONTWRITEBYTECODE": ""}
     command = [sys.executable, "-W", "ignore", "-c", code]
-    taken = []
+    times = []
     for _ in range(RUNS):
         began = time.perf_counter()
         subprocess.run(command, env=environment, check=True)
-        taken.append(time.perf_counter() - began)
-    return min(taken) * 1000
+        times.append(time.perf_counter() - began)
+    return min(times) * 1000
 
 
 def main() -> None:
-    """Measure each step of a start."""
+    """Measure the steps of a start; each includes those before it."""
     print_table("Start", ["up to", "ms"], [[name, milliseconds(code)] for name, code in IMPORTS.items()])
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,14 +1,14 @@
-"""The account of a day's losses adds up, whatever the day."""
+"""Tests of the attribution of losses in the score of a benchmark day."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benches.account import Share, account, causes_of, sum_by
+from benches.account import Outcomes, attribute_losses, causes_of, sum_by
 
 counts = st.integers(0, 50)
-shares = st.builds(
-    lambda name, in_aim, late, refused, failed, rest, worth: Share(
+outcomes = st.builds(
+    lambda name, in_aim, late, refused, failed, rest, worth: Outcomes(
         str(name), in_aim + late + refused + failed + rest, in_aim, late, refused, failed, 0, worth
     ),
     st.integers(0, 60),
@@ -22,30 +22,32 @@
 
 
 @given(
-    st.lists(shares, min_size=2, max_size=8),
-    st.lists(shares, min_size=1, max_size=4),
+    st.lists(outcomes, min_size=2, max_size=8),
+    st.lists(outcomes, min_size=1, max_size=4),
     st.floats(0.0, 1.0),
     st.floats(0.0, 1.0),
     st.floats(0.0, 0.2),
 )
-def test_lines_add_up_to_what_the_day_lost(
-    windows: list[Share], classes: list[Share], day: float, worst: float, price: float
+def test_losses_add_up_to_one_minus_the_score(
+    windows: list[Outcomes], classes: list[Outcomes], day: float, worst: float, price: float
 ) -> None:
     parts = [("whole day", 0.35, day), ("worst windows", 0.5, worst), ("worst class", 0.15, 0.5)]
     worth = sum(weight * value for _, weight, value in parts) - price
-    lines = account(parts, [("orders", 3.0, price)], windows, classes)
+    lines = attribute_losses(parts, [("orders", 3.0, price)], windows, classes)
     assert sum(line.amount for line in lines) == pytest.approx(1.0 - worth, abs=0.001)
     assert all(line.amount > 0 for line in lines)
 
 
-def test_the_worst_windows_are_told_by_their_seconds_and_causes() -> None:
+def test_losses_in_the_worst_windows_are_attributed_to_seconds_and_causes() -> None:
     windows = [
-        Share("0", 10, 10, 0, 0, 0, 0, 1.0),
-        Share("2", 10, 0, 10, 0, 0, 0, 0.3),
-        Share("4", 10, 5, 0, 5, 0, 0, 0.5),
+        Outcomes("0", 10, 10, 0, 0, 0, 0, 1.0),
+        Outcomes("2", 10, 0, 10, 0, 0, 0, 0.3),
+        Outcomes("4", 10, 5, 0, 5, 0, 0, 0.5),
     ]
     late = {"2": {"late begin": 3.0, "late pause": 1.0}}
-    lines = account([("worst windows", 1.0, 0.4)], [], windows, [], lambda where: late.get(where, {}))
+    lines = attribute_losses(
+        [("worst windows", 1.0, 0.4)], [], windows, [], lambda where: late.get(where, {})
+    )
     by_cause = sum_by(lines, lambda line: line.cause)
     assert by_cause["late begin"] == pytest.approx(0.6 * 0.7 / 1.2 * 0.75)
     assert by_cause["late pause"] == pytest.approx(0.6 * 0.7 / 1.2 * 0.25)
@@ -53,6 +55,6 @@
     assert set(sum_by(lines, lambda line: line.where)) == {"2", "4"}
 
 
-def test_requests_that_ended_otherwise_are_a_cause_of_their_own() -> None:
-    assert causes_of(Share("0", 10, 6, 0, 0, 0, 2, 0.5), {}) == {"no answer": 1.0}
-    assert causes_of(Share("0", 0, 0, 0, 0, 0, 0, 1.0), {}) == {"no request": 1.0}
+def test_requests_without_an_answer_are_a_separate_cause() -> None:
+    assert causes_of(Outcomes("0", 10, 6, 0, 0, 0, 2, 0.5), {}) == {"no answer": 1.0}
+    assert causes_of(Outcomes("0", 0, 0, 0, 0, 0, 0, 1.0), {}) == {"no request": 1.0}
