--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -120,8 +120,8 @@
         statuses=dict(Counter(str(r.status or r.error) for r in journal.records)),
         faults=dict(Counter(fault.name for fault in journal.faults)),
         ends=len(site.crashes),
-        rests=sum(len(replica.rests) for replica in site.every_replica),
-        limits=sum(len(replica.limits_named) for replica in site.every_replica),
+        rests=sum(len(replica.retry_after_sent) for replica in site.every_replica),
+        limits=sum(len(replica.limits_announced) for replica in site.every_replica),
     )
 
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -165,7 +165,7 @@
     """Check that a server which sent ``Retry-After`` gets only what was in flight until the pause ends."""
     daemons = {record.request: record.daemon for record in journal.records}
     for replica in site.every_replica:
-        for asked in replica.rests:
+        for asked in replica.retry_after_sent:
             daemon, until = daemons.get(asked.request), asked.at + asked.seconds
             if daemon is None or _suspended_or_cut_off(journal, asked.at, until):
                 continue
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -305,11 +305,11 @@
     asked, lasts = injector.rng.choice(RETRY_AFTER_VALUES), injector.random_duration()
 
     def work() -> None:
-        server.rest = asked
+        server.retry_after = asked
         server.faults.set("refuse")
         time.sleep(lasts)
         server.faults.left["refuse"] = 0
-        server.rest = ""
+        server.retry_after = ""
 
     injector.start_fault("rest", server.id, lasts + float(asked), work)
 
--- a/soak/site.py
+++ b/soak/site.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from soak.proxy import Proxies
-from standins.users import KEY, Daemon, Replica, UsersSite, quietly
+from standins.users import KEY, Daemon, Replica, UsersSite, false_if_unreachable
 from standins.world import STOP_TIMEOUT
 
 MIN_SERVERS = 3
@@ -98,7 +98,7 @@
         """Return the next ready daemon, as a load balancer does; any daemon if none is ready."""
         self.turn = getattr(self, "turn", 0) + 1
         order = [self.fleet[(self.turn + n) % len(self.fleet)] for n in range(len(self.fleet))]
-        chosen = next((d for d in order if quietly(d.process.is_ready)), order[0])
+        chosen = next((d for d in order if false_if_unreachable(d.process.is_ready)), order[0])
         return chosen.incarnation, chosen.callers
 
     def withdraw(self, server: Replica) -> bool:
--- a/standins/users/__init__.py
+++ b/standins/users/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from standins.users.configuration import EVENTS, GROUP, HOST_NAME, KEY, MODEL, PLAIN, configuration
-from standins.users.daemon import Daemon, exchange, quietly
+from standins.users.daemon import Daemon, exchange, false_if_unreachable
 from standins.users.replica import Replica
 from standins.users.site import UsersSite
 
@@ -22,5 +22,5 @@
     "UsersSite",
     "configuration",
     "exchange",
-    "quietly",
+    "false_if_unreachable",
 ]
--- a/standins/users/daemon.py
+++ b/standins/users/daemon.py
@@ -92,7 +92,7 @@
 
     def wait_ready(self) -> None:
         """Wait until the daemon is ready."""
-        wait_for("the daemon is ready", lambda: quietly(self.is_ready))
+        wait_for("the daemon is ready", lambda: false_if_unreachable(self.is_ready))
 
     def stop(self) -> None:
         """Kill the daemon."""
@@ -114,7 +114,7 @@
     return answer
 
 
-def quietly(check: Callable[[], bool]) -> bool:
+def false_if_unreachable(check: Callable[[], bool]) -> bool:
     """Return the result of a check, or false if it fails with a connection error."""
     try:
         return check()
--- a/standins/users/limits.py
+++ b/standins/users/limits.py
@@ -50,7 +50,7 @@
     found: list[Excess] = []
     for span in _limit_spans(server):
         bound_from: dict[str, float] = {}
-        for named in server.limits_named:
+        for named in server.limits_announced:
             at = named.at if passed_on is None else passed_on.get(named.request, math.inf)
             if span.since <= named.at < span.until and (daemon := daemon_of.get(named.request)):
                 bound_from[daemon] = min(bound_from.get(daemon, math.inf), at + NOTICE_SECONDS)
--- a/standins/users/replica.py
+++ b/standins/users/replica.py
@@ -15,7 +15,7 @@
     from standins.users.site import UsersSite
 
 
-class RestAsked(NamedTuple):
+class RetryAfterSent(NamedTuple):
     """A request that was refused with ``Retry-After``."""
 
     request: str
@@ -32,7 +32,7 @@
     value: str
 
 
-class LimitNamed(NamedTuple):
+class LimitAnnounced(NamedTuple):
     """An answer that announced a rate limit."""
 
     request: str
@@ -81,14 +81,14 @@
         self.ran_at: list[tuple[str, float]] = []
         """Requests that ran, with the monotonic times of their starts."""
 
-        self.rest = ""
+        self.retry_after = ""
         """Value of ``Retry-After`` in refusals; no header if empty."""
 
         self.limit_changes: list[LimitChange] = []
         self.started: list[float] = []
         """Times of its restarts, in monotonic seconds."""
 
-        self.limits_named: list[LimitNamed] = []
+        self.limits_announced: list[LimitAnnounced] = []
         """The rate limits that its answers announced."""
 
         self.says_leaving = False
@@ -103,13 +103,13 @@
         self.refused: list[tuple[str, float]] = []
         """Requests that it refused with 503, with the monotonic times of the answers."""
 
-        self.rests: list[RestAsked] = []
+        self.retry_after_sent: list[RetryAfterSent] = []
         """Its refusals with ``Retry-After``."""
 
         self.said_leaving: list[tuple[str, float]] = []
         """Requests whose answers announced that it leaves, with monotonic times."""
 
-        self.resting_stage: Replica | None = None
+        self.paused_stage: Replica | None = None
         """A later stage on whose behalf it refuses requests whose path includes that stage."""
 
         self.down = False
@@ -263,7 +263,7 @@
         if self.faults.take("refuse"):
             self._refuse(handler, request, {})
             return
-        later = self.resting_stage
+        later = self.paused_stage
         if later is not None and later.address in self.tried_paths[request]:
             self._refuse(handler, request, {"At-Server": later.address})
             return
@@ -288,13 +288,13 @@
         except ValueError:
             # A malformed limit, which daemons must ignore.
             return
-        self.limits_named.append(LimitNamed(request, time.monotonic(), rate, self.born))
+        self.limits_announced.append(LimitAnnounced(request, time.monotonic(), rate, self.born))
 
     def _refuse(self, handler: Handler, request: str, headers: dict[str, str]) -> None:
         head = {"X-Request-Id": request, "X-Not-Executed": "1", **headers}
-        if self.rest:
-            head["Retry-After"] = self.rest
-            self.rests.append(RestAsked(request, time.monotonic(), float(self.rest)))
+        if self.retry_after:
+            head["Retry-After"] = self.retry_after
+            self.retry_after_sent.append(RetryAfterSent(request, time.monotonic(), float(self.retry_after)))
         self.refused.append((request, time.monotonic()))
         handler.answer(503, b"", head)
 
--- a/standins/users/site.py
+++ b/standins/users/site.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple, Self
 
 from standins.users.configuration import KEY, LAYERS, MODEL, configuration
-from standins.users.daemon import Daemon, quietly
+from standins.users.daemon import Daemon, false_if_unreachable
 from standins.users.replica import Replica, read_path
 from standins.users.store import MetadataStore, RowKey
 from standins.world import release_ports, reserved_ports, wait_for
@@ -224,4 +224,4 @@
 
 def _knows_stages(daemon: Daemon) -> bool:
     """Return whether a daemon knows the layers of all servers; true if it has exited."""
-    return daemon.popen.poll() is not None or quietly(daemon.knows_stages)
+    return daemon.popen.poll() is not None or false_if_unreachable(daemon.knows_stages)
--- a/tests/test_gateway_connections.py
+++ b/tests/test_gateway_connections.py
@@ -6,7 +6,7 @@
 import pytest
 
 from soak.proxy import Proxies
-from standins.users import EVENTS, KEY, MODEL, PLAIN, Daemon, Replica, UsersSite, quietly
+from standins.users import EVENTS, KEY, MODEL, PLAIN, Daemon, Replica, UsersSite, false_if_unreachable
 from standins.world import wait_for
 from tests.gateway_callers import Answer, ask
 
@@ -25,7 +25,7 @@
 
 
 def succeeds(daemon: Daemon, path: str) -> bool:
-    return quietly(lambda: ask(daemon.callers, path).status == 200)
+    return false_if_unreachable(lambda: ask(daemon.callers, path).status == 200)
 
 
 def start_leaving(replica: Replica) -> None:
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins.users import EVENTS, KEY, MODEL, PLAIN, Daemon, UsersSite, quietly
+from standins.users import EVENTS, KEY, MODEL, PLAIN, Daemon, UsersSite, false_if_unreachable
 from standins.world import wait_for
 from tests.gateway_callers import Answer, ask, read_answer, request_bytes
 
@@ -183,7 +183,7 @@
     answers, thread = start_stream(daemon)
     time.sleep(0.05)
     daemon.signal(signal.SIGTERM)
-    wait_for("the daemon is not ready", lambda: not quietly(daemon.is_ready), 1.0)
+    wait_for("the daemon is not ready", lambda: not false_if_unreachable(daemon.is_ready), 1.0)
     kept.sendall(request_bytes("/once/x", "kept-after", "POST", b"body"))
     late = read_answer("kept-after", kept.recv(65536))
     assert (late.status, late.headers["connection"]) == (200, "close")
--- a/tests/test_resting_servers.py
+++ b/tests/test_resting_servers.py
@@ -80,7 +80,7 @@
 
 def refuse_requests(servers: Sequence[Replica], rest: float = REST) -> None:
     for server in servers:
-        server.rest = str(rest)
+        server.retry_after = str(rest)
         server.faults.set("refuse")
 
 
@@ -118,7 +118,7 @@
     later = find_used_stage(site, daemon, 1)
     heads = first_stages(site)
     for head in heads:
-        head.rest, head.resting_stage = str(STAGE_REST), later
+        head.retry_after, head.paused_stage = str(STAGE_REST), later
     answers = send_continuously([daemon], "/stream/x", STAGE_REST + 1.0)[0]
     told = [at for head in heads for _, at in head.refused]
     over = [at for head in heads for r, at in head.arrived if later.address in head.tried_paths[r]]
@@ -179,7 +179,7 @@
 def test_a_rest_is_reported_and_ends_when_the_server_restarts(site: UsersSite) -> None:
     daemon = start_daemons(site)[0]
     server = site.of(PLAIN)[0]
-    server.rest = "3600"
+    server.retry_after = "3600"
     server.faults.set("refuse", 1)
     wait_for("it is at rest", lambda: ask(daemon.callers, "/safe/x").status and server.refused)
     seconds = rest_seconds_of(daemon, server)
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -73,7 +73,9 @@
     """Return what servers got beyond their limits of the requests of a load."""
     for server in servers:
         server.arrived = [(request, at) for request, at in server.arrived if request in load.daemon_of]
-        server.limits_named = [named for named in server.limits_named if named.request in load.daemon_of]
+        server.limits_announced = [
+            named for named in server.limits_announced if named.request in load.daemon_of
+        ]
     return [excess for server in servers for excess in excesses(server, load.daemon_of)]
 
 
@@ -95,7 +97,7 @@
     limited.rate_limit = "1"
     load = Load(daemons, path)
     load.run()
-    assert limited.limits_named
+    assert limited.limits_announced
     assert excesses_under(load, [limited]) == []
     assert load.served_part() >= SERVED_PART
 
@@ -108,7 +110,7 @@
         server.rate_limit = "4"
     load = Load(daemons, path)
     load.run(WINDOW_SECONDS + 2.0)
-    assert all(server.limits_named for server in limited)
+    assert all(server.limits_announced for server in limited)
     assert excesses_under(load, limited) == []
 
 
@@ -133,10 +135,10 @@
     if answer in ("500", "503"):
         limited.faults.set("error" if answer == "500" else "refuse")
     wait_for(
-        "it has named the limit", lambda: ask(daemons[0].callers, path).status and limited.limits_named
+        "it has named the limit", lambda: ask(daemons[0].callers, path).status and limited.limits_announced
     )
     wait_known(daemons, limited, 0.5)
-    assert {named.request for named in limited.limits_named} <= {
+    assert {named.request for named in limited.limits_announced} <= {
         line["request"] for line in daemons[0].lines("sent")
     }
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 from soak.records import Fault, Journal, Kind, Record
 from soak.site import SoakDaemon
 from standins.users import EVENTS
-from standins.users.replica import LimitChange, LimitNamed, RestAsked
+from standins.users.replica import LimitAnnounced, LimitChange, RetryAfterSent
 from standins.users.site import ServerCrash
 
 SECONDS = 8.0
@@ -77,7 +77,7 @@
     for number, record in enumerate(records):
         record.request, record.body = f"q{number}", f"answer to q{number}".encode()
     site = Site()
-    site.every_replica[0].rests = [RestAsked("q0", 100.0, 3.0)]
+    site.every_replica[0].retry_after_sent = [RetryAfterSent("q0", 100.0, 3.0)]
     site.every_replica[0].arrived = [(r.request, 100.6 + 0.7 * n) for n, r in enumerate(records)]
     journal = Journal(records=records)
     assert [line for line in check(journal, site) if line.startswith("rest")]  # type: ignore[arg-type]
@@ -98,7 +98,7 @@
     site = Site()
     server = site.every_replica[0]
     server.limit_changes = [LimitChange(99.9, "1")]
-    server.limits_named = [LimitNamed("q0", 100.0, 1.0, 1)]
+    server.limits_announced = [LimitAnnounced("q0", 100.0, 1.0, 1)]
     server.arrived = [(record.request, record.sent_at) for record in records]
     journal = Journal(records=records)
     assert [line for line in check(journal, site) if line.startswith("limit")]  # type: ignore[arg-type]
@@ -135,11 +135,11 @@
     def __init__(self, ran: list[tuple[str, float]]) -> None:
         self.id = "i-1"
         self.ran_at = ran
-        self.rests: list[RestAsked] = []
+        self.retry_after_sent: list[RetryAfterSent] = []
         self.said_leaving: list[tuple[str, float]] = []
         self.arrived: list[tuple[str, float]] = []
         self.limit_changes: list[LimitChange] = []
-        self.limits_named: list[LimitNamed] = []
+        self.limits_announced: list[LimitAnnounced] = []
         self.started: list[float] = []
         self.listens_at = "server"
 
