--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -81,7 +81,7 @@
 def test_no_fourth_server_crashes(site: UsersSite, path: str, count: int) -> None:
     daemons = started(site, count)
     answers = send_repeatedly(site, daemons, path)
-    assert len(site.ends) <= MAX_CRASHES
+    assert len(site.crashes) <= MAX_CRASHES
     assert all(stopped(answer) for answer in answers[-2:])
     assert "retry-after" in answers[-1].headers
     assert site.runs(answers[-1].request) == 0
@@ -91,19 +91,19 @@
     site.deadly_stage = -1
     daemons = started(site, 2)
     answers = send_repeatedly(site, daemons, "/stream/x")
-    assert len(site.ends) <= MAX_CRASHES
+    assert len(site.crashes) <= MAX_CRASHES
     assert stopped(answers[-1])
 
 
 def test_stops_survive_the_loss_of_all_daemons(site: UsersSite) -> None:
     daemons = started(site, 2)
     send_repeatedly(site, daemons, "/stream/x")
-    crashes = len(site.ends)
+    crash_count = len(site.crashes)
     for daemon in daemons:
         daemon.signal(signal.SIGKILL)
     again = started(site, 2)
     assert all(stopped(send(daemon, CRASHING)) for daemon in again)
-    assert len(site.ends) == crashes
+    assert len(site.crashes) == crash_count
     assert served(again[0])
 
 
@@ -114,10 +114,10 @@
     site.store.faults.set("busy")
     for number, daemon in enumerate(daemons):
         wait_for(
-            "a server has crashed", lambda n=number, d=daemon: send(d, CRASHING) and len(site.ends) > n
+            "a server has crashed", lambda n=number, d=daemon: send(d, CRASHING) and len(site.crashes) > n
         )
     wait_for("all refuse it", lambda: all(stopped(send(daemon, CRASHING)) for daemon in daemons))
-    assert len(site.ends) <= MAX_CRASHES
+    assert len(site.crashes) <= MAX_CRASHES
     site.store.faults.clear()
 
 
--- a/tests/test_lost_rows.py
+++ b/tests/test_lost_rows.py
@@ -83,7 +83,7 @@
     secret = site.store.rows[TABLE, SECRET_KEY][1]
     names = {(TABLE, MEMBER_PREFIX + daemon.settings["member"]) for daemon in daemons}
     site.restore_store(backed_up)
-    site.write_again()
+    site.rewrite_lost_rows()
     wait_for("their rows are rewritten", lambda: names <= site.store.rows.keys())
     assert site.store.rows[TABLE, SECRET_KEY][1] == secret
     joined = site.start("hall-0", retry_floor=1000.0)
@@ -99,7 +99,7 @@
     secret = site.store.rows[TABLE, SECRET_KEY][1]
     site.restore_store(backed_up)
     site.store.put(TABLE, SECRET_KEY, "created on the restored store")
-    site.write_again()
+    site.rewrite_lost_rows()
     wait_for("the secret is the earlier one", lambda: site.store.rows[TABLE, SECRET_KEY][1] == secret)
     time.sleep(1.0)
     assert all(len(daemon.beliefs()["members"]) == 2 for daemon in daemons)
