--- a/standins/demo.py
+++ b/standins/demo.py
@@ -21,7 +21,7 @@
         _service_calls(world, daemons)
         _change_settings(world, daemons)
         _stop_daemon(world, daemons)
-    print(f"done in {time.monotonic() - started:.1f} s; all processes have ended")
+    print(f"done in {time.monotonic() - started:.1f} s; every process is ended")
 
 
 def _start_world(world: World) -> list[Process]:
